--- a/tests/gateway/ending_proxy.cpp
+++ b/tests/gateway/ending_proxy.cpp
@@ -6,7 +6,6 @@
 constexpr unsigned short kFirstPort = 1000;
 constexpr Micros kBefore = kSecond;  // of traffic before SIGTERM
 constexpr Micros kSecondSignalAfter = kSecond;
-constexpr Micros kThinkTime = 20 * kMs;
 
 }  // namespace
 
@@ -14,6 +13,7 @@
 
 void EndingProxy::play() {
     loop_.readDelay = plan_.readDelay;
+    loop_.inboundQueue = plan_.inboundQueue;
     startServers();
     for (unsigned k = 0; k < plan_.keptClients; ++k) openClient(true);
     openClients();
@@ -52,6 +52,17 @@
     return out;
 }
 
+std::vector<std::string> EndingProxy::cutLate() const {
+    std::vector<std::string> out;
+    for (const auto& [id, request] : requests) {
+        if (request.status != 0 || request.closedAt - request.sentAt <= plan_.lossSlack) continue;
+        out.push_back(id + " sent " + std::to_string((request.sentAt - terminatedAt) / kMs) +
+                      " ms after SIGTERM, cut " + std::to_string((request.closedAt - terminatedAt) / kMs) +
+                      " ms after it");
+    }
+    return out;
+}
+
 // ---- servers ----
 
 void EndingProxy::startServers() {
@@ -143,14 +154,14 @@
     request.status = reply->status;
     request.toldToClose = fieldOf(reply->head, "Connection") == "close";
     client.current.clear();
-    if (client.kept) loop_.after(kThinkTime, [this, &client] { send(client); });
+    if (client.kept) loop_.after(plan_.thinkTime, [this, &client] { send(client); });
 }
 
 void EndingProxy::onClosed(Client& client) {
     client.closed = true;
     if (client.current.empty()) return;
     EndingRequest& request = requests.at(client.current);
-    request.closed = true;
+    request.closedAt = loop_.now();
     if (client.connection->readByProxy >= client.givenBefore) request.read = true;
 }
 
--- a/tests/gateway/ending_proxy.h
+++ b/tests/gateway/ending_proxy.h
@@ -20,7 +20,10 @@
     Micros slowestAnswer = 3 * kSecond;
     Micros newClientEvery = 40 * kMs;
     unsigned keptClients = 6;
+    Micros thinkTime = 20 * kMs;  // of a kept client, between an answer and its next request
     unsigned servers = 4;
+    Micros inboundQueue = 0;  // at the proxy's link
+    Micros lossSlack = 200 * kMs;
     Micros readDelay = 0;       // of the proxy's loop, from the socket to the handler
     bool secondSignal = false;  // SIGTERM again, a second later
 };
@@ -32,7 +35,7 @@
     Micros serverFrom = 0;     // 0: no server has it
     Micros serverUntil = 0;    // its answer leaves the server
     unsigned status = 0;       // of the whole answer; 0: none
-    bool closed = false;       // its connection ended
+    Micros closedAt = 0;       // its client sees the connection ended; 0: it isn't
     bool toldToClose = false;  // its answer said so
     unsigned arrivals = 0;
 };
@@ -45,6 +48,9 @@
 
     // The rule: a request that was read is answered or refused, whole, whatever its server does.
     [[nodiscard]] std::vector<std::string> unanswered() const;
+    // The same as clients see it, who can't tell what was read: no connection ends without an answer later
+    // than `lossSlack` after its request was sent.
+    [[nodiscard]] std::vector<std::string> cutLate() const;
 
     std::map<std::string, EndingRequest> requests;
     Micros terminatedAt = 0;
--- a/tests/gateway/ending_proxy_test.cpp
+++ b/tests/gateway/ending_proxy_test.cpp
@@ -71,6 +71,25 @@
     requireAllAnswered(plan);
 }
 
+// As in the operators' second record: the request waits at the proxy's link while idle connections are
+// closed.
+TEST_CASE("A request on its way while an ending proxy closes idle connections is answered",
+          "[ending_proxy]") {
+    EndingPlan plan;
+    plan.inboundQueue = GENERATE(150, 430) * kMs;
+    plan.slowestAnswer = 300 * kMs;
+    plan.thinkTime = GENERATE(20, 300) * kMs;
+    for (plan.seed = 1; plan.seed <= kHistories; ++plan.seed) {
+        EndingProxy proxy(plan);
+        proxy.play();
+        INFO("seed " << plan.seed);
+        INFO(joined(proxy.cutLate()));
+        REQUIRE(proxy.cutLate().empty());
+        REQUIRE(proxy.unanswered().empty());
+        REQUIRE(proxy.endedAt <= proxy.terminatedAt + plan.grace);
+    }
+}
+
 TEST_CASE("An ending proxy takes what it can finish, and serves all until the platform has stopped sending",
           "[ending_proxy]") {
     using marldale::edge_proxy::TerminationSchedule;
--- a/tests/gateway/simulated_network.h
+++ b/tests/gateway/simulated_network.h
@@ -105,6 +105,8 @@
             if (const auto open = connection.lock()) open->discardPending();
         }
     }
+    // Of a full link: bytes to the proxy wait so long in its queue, those of all connections alike.
+    Micros inboundQueue = 0;
     // Of a busy loop: so long after the bytes were taken from the socket a read's handler is called. 0: at
     // once.
     Micros readDelay = 0;
@@ -227,7 +229,7 @@
         self->in_.append(text);
         self->wakeReader();
     };
-    cutOff_ ? held_.push_back(arrive) : loop_.after(kTravel, arrive);
+    cutOff_ ? held_.push_back(arrive) : loop_.after(kTravel + loop_.inboundQueue, arrive);
 }
 
 inline void Connection::finish() {
@@ -235,7 +237,7 @@
         self->end_ = true;
         self->wakeReader();
     };
-    cutOff_ ? held_.push_back(arrive) : loop_.after(kTravel, arrive);
+    cutOff_ ? held_.push_back(arrive) : loop_.after(kTravel + loop_.inboundQueue, arrive);
 }
 
 inline void Connection::reset() {
