--- a/src/gateway/controller/controller.cpp
+++ b/src/gateway/controller/controller.cpp
@@ -259,8 +259,16 @@
     arm();
 }
 
+// Counted from the heartbeats' own time: `arm` moves the timer whenever a frame comes.
+void Controller::noteLateness(Micros now) {
+    if (now < nextHeartbeat_ || nextHeartbeat_ == 0) return;
+    if (const auto late = loopLateness_.ran(nextHeartbeat_, now))
+        log::warn("loop_late", {{"at_most_us", *late}});
+}
+
 void Controller::tick() {
     const Micros now = steadyNow();
+    noteLateness(now);
     replica_->tick(now);
     while (auto letter = view_.due(now)) datagrams_.send(letter->to, letter->shuffle);
     if (now >= nextHeartbeat_) sendHeartbeats(now);
@@ -294,8 +302,6 @@
     timer_.expires_after(std::chrono::microseconds(due - now));
     timer_.async_wait([this](boost::system::error_code wrong) {
         if (wrong) return;
-        if (const auto late = loopLateness_.ran(armedFor_, steadyNow()))
-            log::warn("loop_late", {{"at_most_us", *late}});
         armedFor_ = 0;
         tick();
     });
--- a/src/gateway/controller/controller.h
+++ b/src/gateway/controller/controller.h
@@ -17,13 +17,13 @@
 #include "gateway/controller/departure_acks.h"
 #include "gateway/controller/disk_writer.h"
 #include "gateway/controller/durable_copy.h"
-#include "gateway/controller/loop_lateness.h"
 #include "gateway/controller/order_queue.h"
 #include "gateway/distribution/configuration_resources.h"
 #include "gateway/distribution/distribution_loop.h"
 #include "gateway/distribution/resource_distributor.h"
 #include "gateway/distribution/steering.h"
 #include "gateway/gossip/view.h"
+#include "gateway/log/loop_lateness.h"
 #include "gateway/raft/compaction_policy.h"
 #include "gateway/raft/replica.h"
 #include "gateway/registry/registry.h"
@@ -94,6 +94,7 @@
 
     void arm();
     void tick();
+    void noteLateness(Micros now);
     void dialPeers(Micros now);
     void forgetPeers(const std::set<std::string>& wanted, Micros now);
     void dialPeer(const std::string& address);
@@ -184,7 +185,7 @@
     distribution::ConfigurationResources configurationResources_{distributor_};
     distribution::DistributionLoop distributionLoop_;
     bool flushDue_ = false;  // something is to go out, as soon as the schedule lets it
-    LoopLateness loopLateness_;
+    log::LoopLateness loopLateness_;
 
     std::unique_ptr<ReplicaLog> log_;
     std::unique_ptr<OrderQueue> orders_;
--- a/src/gateway/edge_proxy/binding.cpp
+++ b/src/gateway/edge_proxy/binding.cpp
@@ -52,6 +52,7 @@
 
 absl::Status Binding::start() {
     if (auto s = datagrams_.open(); !s.ok()) return s;
+    armedFor_ = steadyNow();
     tick();
     return absl::OkStatus();
 }
@@ -77,6 +78,7 @@
 }
 
 void Binding::arm(Micros after) {
+    armedFor_ = steadyNow() + after;
     timer_.expires_after(std::chrono::microseconds(after));
     timer_.async_wait([this](boost::system::error_code wrong) {
         if (!wrong) tick();
@@ -85,6 +87,7 @@
 
 void Binding::tick() {
     const Micros now = steadyNow();
+    if (const auto late = lateness_.ran(armedFor_, now)) log::warn("loop_late", {{"at_most_us", *late}});
     while (auto letter = view_.due(now)) datagrams_.send(letter->to, letter->shuffle);
     if (link_) checkLink(now);
     choose(now);
@@ -99,7 +102,12 @@
         if (search_.doubt(*reason)) {
             log::info("controller_doubted", {{"controller", selection_.address()},
                                              {"why", textOf(*reason)},
-                                             {"contact_age_us", selection_.contactAge(now)}});
+                                             {"contact_age_us", selection_.contactAge(now)},
+                                             {"heard_ago_us", now - link_->heardAt()},
+                                             {"round_trip_us", selection_.delay().roundTrip},
+                                             {"held_us", selection_.delay().held},
+                                             {"controller_age_us", selection_.delay().controllerAge},
+                                             {"counted", selection_.delay().counted}});
         }
     } else if (selection_.proven(now)) {
         search_.settled();  // not where the loop was late only, and the check grants time
--- a/src/gateway/edge_proxy/binding.h
+++ b/src/gateway/edge_proxy/binding.h
@@ -13,6 +13,7 @@
 #include "gateway/edge_proxy/controller_search.h"
 #include "gateway/edge_proxy/controller_selection.h"
 #include "gateway/gossip/view.h"
+#include "gateway/log/loop_lateness.h"
 #include "gateway/settings/settings.h"
 #include "gateway/transport/datagrams.h"
 #include "gateway/transport/link.h"
@@ -63,6 +64,8 @@
     std::shared_ptr<transport::Link> link_;
     bool stranded_ = false, stopping_ = false;
     Micros nextReport_ = 0, settledAt_ = 0;
+    Micros armedFor_ = 0;
+    log::LoopLateness lateness_;
     std::uint32_t proxies_ = 0;
 };
 
--- a/src/gateway/edge_proxy/controller_selection.cpp
+++ b/src/gateway/edge_proxy/controller_selection.cpp
@@ -95,6 +95,9 @@
 void ControllerSelection::heartbeat(Micros now, const proto::Heartbeat& heartbeat, std::uint64_t heldIndex) {
     // Well over the limit: an election alone, which strikes all controllers alike, is waited for.
     toldNoContact_ = heartbeat.age() > 2 * limits_.contact;
+    delay_ = {0, heartbeat.echo_held(), heartbeat.age(), false};
+    if (const auto sent = marks_.sentNoEarlier(heartbeat.echo(), 0))
+        delay_.roundTrip = now - *sent - heartbeat.echo_held();
     if (heartbeat.age() < 0 || heartbeat.index() < heldIndex) return;
     // It hears nothing of this proxy any more: the link works one way only, and nothing would be
     // acknowledged.
@@ -104,6 +107,7 @@
     if (!sentAt) return;
     const Micros contactAt = std::min(now, *sentAt) - heartbeat.age();
     contactAt_ = std::max(contactAt_, contactAt);
+    delay_.counted = true;
     if (now - contactAt > limits_.contact) return;
     if (const auto at = candidates_.find(at_); at != candidates_.end()) at->second.failedAt = 0;
 }
--- a/src/gateway/edge_proxy/controller_selection.h
+++ b/src/gateway/edge_proxy/controller_selection.h
@@ -42,6 +42,14 @@
 enum class LeaveReason { silent, noQuorumContact, closed, olderConfiguration };
 [[nodiscard]] const char* textOf(LeaveReason reason);
 
+/// What the age of the newest proof of contact is made of, in microseconds: where a heartbeat was held up.
+struct ContactDelay {
+    Micros roundTrip = 0;  ///< of a mark to the controller and its echo back, without the time it was held
+    Micros held = 0;       ///< by the controller, from the mark's arrival to the heartbeat
+    Micros controllerAge = 0;  ///< of the controller's own contact with a majority
+    bool counted = false;      ///< the heartbeat was taken as proof
+};
+
 class ControllerSelection {
 public:
     // Whether others still speak of a controller.
@@ -74,6 +82,8 @@
     [[nodiscard]] bool proven(Micros now) const;
     // What is held was complete so long ago at most; since the start if never.
     [[nodiscard]] Micros contactAge(Micros now) const;
+    /// Of the newest heartbeat of any controller.
+    [[nodiscard]] const ContactDelay& delay() const { return delay_; }
     [[nodiscard]] bool stranded(Micros now) const { return contactAge(now) > limits_.stranded; }
 
 private:
@@ -96,6 +106,7 @@
     Micros checkedAt_ = 0;
     Micros patienceUntil_ = 0;  // after this process itself was late
     bool toldNoContact_ = false;
+    ContactDelay delay_;
 };
 
 }  // namespace marldale::edge_proxy
--- a/src/gateway/controller/loop_lateness.h
+++ b/src/gateway/log/loop_lateness.h
@@ -8,7 +8,7 @@
 
 #include "policy/types.h"
 
-namespace marldale::controller {
+namespace marldale::log {
 
 class LoopLateness {
 public:
@@ -50,4 +50,4 @@
     Micros unreported_ = 0, nextReport_ = 0;
 };
 
-}  // namespace marldale::controller
+}  // namespace marldale::log
--- a/tests/gateway/distribution_load_test.cpp
+++ b/tests/gateway/distribution_load_test.cpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <random>
 
-#include "gateway/controller/loop_lateness.h"
 #include "gateway/distribution/configuration_resources.h"
 #include "gateway/distribution/distribution_loop.h"
+#include "gateway/log/loop_lateness.h"
 
 namespace marldale::distribution {
 namespace {
@@ -126,7 +126,7 @@
         }
         return worst;
     }
-    [[nodiscard]] const controller::LoopLateness& lateness() const { return lateness_; }
+    [[nodiscard]] const log::LoopLateness& lateness() const { return lateness_; }
 
 private:
     struct Change {
@@ -222,7 +222,7 @@
     std::set<ProxyId> silent_;
     ProxyId lastProxy_ = 0;
     Micros nextHeartbeat_ = kHeartbeatEvery;
-    controller::LoopLateness lateness_;
+    log::LoopLateness lateness_;
     std::mt19937_64 draw_{1};
 };
 
@@ -304,7 +304,7 @@
 }
 
 TEST_CASE("How late the loop was is the most over a window, and is reported seldom", "[load]") {
-    controller::LoopLateness lateness({1000000, 50000, 200000});
+    log::LoopLateness lateness({1000000, 50000, 200000});
     CHECK_FALSE(lateness.ran(100, 200).has_value());
     CHECK(lateness.worst(300) == 100);
     CHECK(lateness.ran(1000, 91000) == 90000);
