--- a/src/gateway/edge_proxy/answers.cpp
+++ b/src/gateway/edge_proxy/answers.cpp
@@ -50,6 +50,7 @@
     const auto request = std::static_pointer_cast<ForwardedRequest>(connection.user);
     if (!request) return connection.close();
     const Micros now = timers_.now();
+    stillness_.traffic(now);
     const AnswerReader& reader = connection.reader();
     if (reader.state() == AnswerReader::State::bad) {
         return attemptEnded(request, AttemptResult::spoiled, now);
--- a/src/gateway/edge_proxy/forwarder_impl.h
+++ b/src/gateway/edge_proxy/forwarder_impl.h
@@ -13,6 +13,7 @@
 #include "gateway/edge_proxy/readiness.h"
 #include "gateway/edge_proxy/request_forwarder.h"
 #include "gateway/edge_proxy/termination_schedule.h"
+#include "gateway/edge_proxy/traffic_stillness.h"
 #include "gateway/edge_proxy/waiting_requests.h"
 #include "gateway/http_server/listener.h"
 #include "gateway/http_server/timers.h"
@@ -44,6 +45,7 @@
     void onClosed(http_server::ClientConnection& client) override;
     [[nodiscard]] const upstream::Limits& limits() const override { return tables_.limits(); }
     [[nodiscard]] bool closing() const override { return termination_.begun(); }
+    void onClientBytes() override { stillness_.traffic(timers_.now()); }
     bool hold(std::int64_t bytes) override;
 
     // ServerConnectionOwner.
@@ -106,6 +108,7 @@
     void endProcess(Micros now);
     [[nodiscard]] bool nothingLeft() const;
     void closeIdleClients();
+    void stopAccepting();
     void finishUnsent(Micros now);
     void giveUpSent(Micros now);
     void logUnfinished();
@@ -129,9 +132,10 @@
     std::int64_t heldBodies_ = 0, heldAnswers_ = 0;  // bytes
     upstream::Draw draw_;
     bool wasReady_ = false, shutDown_ = false;
-    // The end: idle clients were closed; nothing was left; nobody new comes; it is over.
-    bool idleClosed_ = false, endNow_ = false, ending_ = false, ended_ = false;
+    // The end: new clients are taken; nothing was left; what was read is still refused; it is over.
+    bool accepting_ = true, endNow_ = false, ending_ = false, ended_ = false;
     TerminationSchedule termination_;
+    TrafficStillness stillness_;
     unsigned refusedLate_ = 0;  // requests that came too late to be finished before the end
     std::function<void()> done_;
     EndTimer endTimer_;
--- a/src/gateway/edge_proxy/request_forwarder.cpp
+++ b/src/gateway/edge_proxy/request_forwarder.cpp
@@ -67,7 +67,7 @@
 }
 
 void RequestForwarder::Impl::accept(std::unique_ptr<http_server::ByteStream> stream) {
-    if (ending_) return stream->close();
+    if (!accepting_) return stream->close();
     const auto client = std::make_shared<ClientConnection>(std::move(stream), *this, timers_);
     clients_.insert(client);
     client->start();
--- a/src/gateway/edge_proxy/termination.cpp
+++ b/src/gateway/edge_proxy/termination.cpp
@@ -33,7 +33,7 @@
     if (termination_.begun()) return;
     termination_.begin(timers_.now(), settings_.grace);
     done_ = std::move(done);
-    endTimer_.wake(termination_.serveUntil());
+    endTimer_.wake(0);
 }
 
 void RequestForwarder::Impl::onEndTimer(Micros now) {
@@ -41,9 +41,12 @@
     // A client may have come since the last one went.
     if (now >= termination_.lastMoment() || (endNow_ && nothingLeft())) return beginEnd(now);
     endNow_ = false;
+    if (now >= termination_.acceptUntil()) stopAccepting();
+    // Behind a full link a request may be on its way to any connection, so idle ones stay until it is still.
+    const bool isStill = stillness_.check(now);
+    if (isStill && now >= termination_.serveUntil()) closeIdleClients();
     if (now < termination_.endAt()) {
-        if (!std::exchange(idleClosed_, true)) closeIdleClients();
-        endTimer_.wake(termination_.endAt());
+        endTimer_.wake(std::min(now + TrafficStillness::kCheckEvery, termination_.endAt()));
     } else {
         // What is on its way to a client, or nearly, still has a moment.
         finishUnsent(now);
@@ -54,12 +57,20 @@
 
 // Nobody new comes; requests that were read and whose turn has not come yet are still refused.
 void RequestForwarder::Impl::beginEnd(Micros now) {
+    stopAccepting();
+    if (now < termination_.lastMoment() && !nothingLeft()) return endTimer_.wake(0);
     ending_ = true;
-    if (front_) front_->close();
     closeIdleClients();
     endTimer_.wake(now + kLastTurn);
 }
 
+// Connections that wait to be accepted may have brought a request already.
+void RequestForwarder::Impl::stopAccepting() {
+    if (!std::exchange(accepting_, false) || !front_) return;
+    front_->acceptWaiting();
+    front_->close();
+}
+
 void RequestForwarder::Impl::endProcess(Micros now) {
     if (ended_) return;
     ended_ = true;
--- a/src/gateway/edge_proxy/termination_schedule.h
+++ b/src/gateway/edge_proxy/termination_schedule.h
@@ -16,6 +16,7 @@
         serveUntil_ =
             now + std::min(kServeFor, static_cast<Micros>(static_cast<double>(grace) * kServeShare));
         endAt_ = now + std::max<Micros>(0, grace - kEndMargin);
+        acceptUntil_ = std::max(serveUntil_, endAt_ - kLastRequestMargin);
         lastMoment_ = now + std::max<Micros>(0, grace - kKillMargin);
         begun_ = true;
     }
@@ -23,6 +24,9 @@
     [[nodiscard]] Micros begunAt() const { return begunAt_; }
     /// Until then requests are served as before: the platform, which looks at readiness, may still send.
     [[nodiscard]] Micros serveUntil() const { return serveUntil_; }
+    /// Until then connections are accepted. Later ones are refused by the operating system, before a request
+    /// is sent on them that might come too late to be answered.
+    [[nodiscard]] Micros acceptUntil() const { return acceptUntil_; }
     /// From then on nothing is sent to servers any more; answers that come, or are being written, have until
     /// `lastMoment`.
     [[nodiscard]] Micros endAt() const { return endAt_; }
@@ -39,14 +43,16 @@
 
 private:
     // What is tuned.
-    static constexpr Micros kServeFor = 2500000;     // the platform has missed two looks by then
-    static constexpr double kServeShare = 0.45;      // of the grace, if that is less
-    static constexpr Micros kEndMargin = 300000;     // before the grace ends
+    static constexpr Micros kServeFor = 2500000;  // the platform has missed two looks by then
+    static constexpr double kServeShare = 0.45;   // of the grace, if that is less
+    static constexpr Micros kEndMargin = 300000;  // before the grace ends
+    // A request may wait so long at this machine's link.
+    static constexpr Micros kLastRequestMargin = 700000;
     static constexpr Micros kKillMargin = 150000;    // before the process would be killed
     static constexpr Micros kAnswerMargin = 100000;  // from a deadline until its answer has left
 
     bool begun_ = false;
-    Micros begunAt_ = 0, serveUntil_ = 0, endAt_ = 0, lastMoment_ = 0;
+    Micros begunAt_ = 0, serveUntil_ = 0, acceptUntil_ = 0, endAt_ = 0, lastMoment_ = 0;
 };
 
 }  // namespace marldale::edge_proxy
--- a/src/gateway/http_server/client_connection.cpp
+++ b/src/gateway/http_server/client_connection.cpp
@@ -4,6 +4,7 @@
 #include <array>
 #include <boost/asio/buffer.hpp>
 #include <charconv>
+#include <utility>
 
 namespace marldale::http_server {
 namespace {
@@ -13,10 +14,9 @@
 // What is tuned.
 constexpr std::size_t kFirstRoom = 2048;  // for reading; grows while a head or body needs it
 constexpr std::size_t kBodyRoom = 32768;
-constexpr std::size_t kKeptRoom = 8192;   // of a connection that waits for its next request
-constexpr Micros kLinger = 500000;        // a client may still be sending what is not read any more
-constexpr Micros kWriteStall = 5000000;   // without a byte leaving
-constexpr Micros kClosingIdle = 1000000;  // a connection without a request, while we are about to end
+constexpr std::size_t kKeptRoom = 8192;  // of a connection that waits for its next request
+constexpr Micros kLinger = 500000;       // a client may still be sending what is not read any more
+constexpr Micros kWriteStall = 5000000;  // without a byte leaving
 
 }  // namespace
 
@@ -45,7 +45,8 @@
 
 void ClientConnection::start() {
     openedAt_ = timers_.now();
-    wake(openedAt_ + (handler_.closing() ? kClosingIdle : handler_.limits().quiet));
+    idleSince_ = openedAt_;
+    wake(openedAt_ + handler_.limits().quiet);
     read();
 }
 
@@ -105,7 +106,9 @@
 void ClientConnection::onRead(const boost::system::error_code& error, std::size_t bytes) {
     reading_ = false;
     if (state_ == State::closed) return;
-    closing_ = false;  // bytes that have come are served
+    // Bytes that have come are served, also those that came while the read was being ended.
+    if (std::exchange(closing_, false) && error == asio::error::operation_aborted && !stream_->quiet())
+        return read();
     if (error) {
         peerDone_ = true;
         // What is being written may still be read there if only its sending side is shut.
@@ -113,6 +116,7 @@
         close();
         return;
     }
+    handler_.onClientBytes();
     if (state_ == State::lingering) {
         inFrom_ = inTo_ = 0;
         read();
@@ -327,8 +331,8 @@
     reader_.next();
     continueSent_ = false;
     state_ = State::reading;
-    const Micros now = timers_.now();
-    wake(now + (handler_.closing() ? kClosingIdle : handler_.limits().quiet));
+    idleSince_ = timers_.now();
+    wake(idleSince_ + handler_.limits().quiet);
     if (inFrom_ == inTo_) {
         read();
         return;
@@ -356,7 +360,7 @@
     switch (state_) {
         case State::reading:
             if (reader_.state() == RequestReader::State::idle) {
-                closeIfUnused();
+                closeIfQuiet(now);
             } else {
                 reader_.request().keepAlive = false;
                 unread_ = true;
@@ -368,7 +372,13 @@
         case State::lingering: close(); break;
         case State::closed: break;
     }
-    static_cast<void>(now);
+}
+
+// A configuration may have allowed more meanwhile, and clients count on it.
+void ClientConnection::closeIfQuiet(Micros now) {
+    const Micros until = idleSince_ + handler_.limits().quiet;
+    if (now < until) return wake(until);
+    closeIfUnused();
 }
 
 }  // namespace marldale::http_server
--- a/src/gateway/http_server/client_connection.h
+++ b/src/gateway/http_server/client_connection.h
@@ -27,6 +27,8 @@
     [[nodiscard]] virtual const upstream::Limits& limits() const = 0;
     // Answers say that the connection is closed after them.
     [[nodiscard]] virtual bool closing() const = 0;
+    // Bytes have come from a client.
+    virtual void onClientBytes() {}
     // Bytes of bodies held in memory: false if that would be too much.
     virtual bool hold(std::int64_t bytes) = 0;
 };
@@ -62,7 +64,8 @@
     [[nodiscard]] std::size_t pending() const { return outNow_.size() - outFrom_ + outNext_.size(); }
     [[nodiscard]] bool http10() { return reader_.request().http10; }
 
-    // Closes it unless a request has begun to come, also one that has been read and not looked at yet.
+    // Closes it unless a request has begun to come, also one that has been read and not looked at yet, or
+    // that lies in the socket.
     void closeIfUnused();
     [[nodiscard]] bool isClosed() const { return state_ == State::closed; }
     [[nodiscard]] Micros openedAt() const { return openedAt_; }
@@ -72,6 +75,7 @@
     enum class State { reading, serving, answering, lingering, closed };
 
     void due(Micros now) override;
+    void closeIfQuiet(Micros now);
     void read();
     void onRead(const boost::system::error_code& error, std::size_t bytes) override;
     void onWritable(const boost::system::error_code& error) override;
@@ -91,7 +95,7 @@
     std::unique_ptr<ByteStream> stream_;
     Timers& timers_;
     RequestHandler& handler_;
-    Micros openedAt_ = 0;
+    Micros openedAt_ = 0, idleSince_ = 0;
     RequestReader reader_;
     State state_ = State::reading;
     std::string in_;  // its size is the room for reading
--- a/src/gateway/http_server/listener.cpp
+++ b/src/gateway/http_server/listener.cpp
@@ -69,17 +69,31 @@
             wake(steadyNow() + kAcceptAgain);
             return;
         }
-        if (mayAccept_()) {
-            const auto client =
-                std::make_shared<ClientConnection>(acceptedStream(std::move(socket)), handler_, timers_);
-            accepted_(client);
-            client->start();
-        } else {
-            boost::system::error_code ignored;
-            socket.close(ignored);
-        }
+        take(std::move(socket));
         accept();
     });
 }
 
+void Listener::take(Socket socket) {
+    if (!mayAccept_()) {
+        boost::system::error_code ignored;
+        socket.close(ignored);
+        return;
+    }
+    const auto client =
+        std::make_shared<ClientConnection>(acceptedStream(std::move(socket)), handler_, timers_);
+    accepted_(client);
+    client->start();
+}
+
+void Listener::acceptWaiting() {
+    boost::system::error_code error;
+    acceptor_.non_blocking(true, error);
+    while (!error) {
+        Socket socket(loop_);
+        acceptor_.accept(socket, error);
+        if (!error) take(std::move(socket));
+    }
+}
+
 }  // namespace marldale::http_server
--- a/src/gateway/http_server/listener.h
+++ b/src/gateway/http_server/listener.h
@@ -24,6 +24,8 @@
              std::function<void(const std::shared_ptr<ClientConnection>&)> accepted);
     // Invalid argument: no address. Unavailable: it can't be listened on.
     absl::Status listen(const std::string& address);
+    // Accepts all connections that wait to be accepted now.
+    void acceptWaiting();
     void close();
     [[nodiscard]] unsigned short port() const;
 
@@ -32,6 +34,7 @@
         boost::asio::basic_socket_acceptor<boost::asio::ip::tcp, boost::asio::io_context::executor_type>;
     void due(Micros now) override;
     void accept();
+    void take(Socket socket);
 
     boost::asio::io_context& loop_;
     Timers& timers_;
