--- a/src/gateway/controller/controller.cpp
+++ b/src/gateway/controller/controller.cpp
@@ -85,7 +85,8 @@
       inside_(io),
       timer_(io),
       distributionLoop_(*this, settings_.bounds.apply),
-      departureCopy_(departureWriter()) {}
+      departureCopy_(departureWriter(), [this] { return departuresText(steadyNow()); }),
+      barrier_(settings::viewLease(settings_.bounds)) {}
 
 Controller::~Controller() = default;
 
@@ -255,6 +256,7 @@
     takeReady();
     deliverReplies();
     working_ = false;
+    updateBarrier(steadyNow());
     wakeDistribution(steadyNow());
     arm();
 }
@@ -285,7 +287,7 @@
     if (now >= nextSweep_) {
         nextSweep_ = now + kSweepEvery;
         countProxies(now);
-        if (registry_.tick(now)) serversChanged(now);
+        if (registry_.tick(now)) registryChanged(now);
         flushDue_ = true;
     }
     work();
@@ -294,10 +296,12 @@
 void Controller::arm() {
     if (working_) return;
     const Micros now = steadyNow();
-    Micros due = std::min({replica_->nextDue(), orders_->nextDue(), view_.nextDue(),
-                           distributionLoop_.nextDue(), nextHeartbeat_, nextUpdates_, nextSweep_});
+    Micros due =
+        std::min({replica_->nextDue(), orders_->nextDue(), view_.nextDue(), distributionLoop_.nextDue(),
+                  barrier_.nextDue(), nextHeartbeat_, nextUpdates_, nextSweep_});
     due = std::max(due, now + 1000);
-    if (armedFor_ > now && armedFor_ <= due) return;
+    // One that is overdue stays: it fires as soon as the loop gets to it, however many frames come meanwhile.
+    if (armedFor_ != 0 && armedFor_ <= due) return;
     armedFor_ = due;
     timer_.expires_after(std::chrono::microseconds(due - now));
     timer_.async_wait([this](boost::system::error_code wrong) {
--- a/src/gateway/controller/controller.h
+++ b/src/gateway/controller/controller.h
@@ -19,6 +19,7 @@
 #include "gateway/controller/durable_copy.h"
 #include "gateway/controller/order_queue.h"
 #include "gateway/distribution/configuration_resources.h"
+#include "gateway/distribution/distribution_barrier.h"
 #include "gateway/distribution/distribution_loop.h"
 #include "gateway/distribution/resource_distributor.h"
 #include "gateway/distribution/steering.h"
@@ -85,6 +86,15 @@
         std::string about;  // for the log
     };
 
+    struct Departure {
+        std::uint64_t turn = 0;       // of distribution, that tells the proxies
+        bool isAcknowledged = false;  // here
+    };
+    struct PendingDeparture {  // waits to be acknowledged
+        std::string id;
+        Answer answer;
+    };
+
     void acceptInside();
     void arrived(boost::asio::ip::tcp::socket socket);
     void heard(const std::shared_ptr<transport::Link>& link, const proto::Frame& frame);
@@ -102,10 +112,15 @@
     void heartbeatFromPeer(const transport::Link* link, const proto::Heartbeat& heartbeat, Micros now);
     void loadReport(const transport::Link* link, const proto::LoadReport& report, Micros now);
     void updateAcknowledged(const transport::Link* link, std::uint64_t number);
-    void acknowledgeDeparture(const proto::Server& said, Answer answer, Micros now);
+    void acknowledgeDeparture(const std::string& id, Answer answer, Micros now);
+    void askForDepartures(Micros now);
+    void noteDeparture(const std::string& id);
+    void whenDeparturesAreKnown(const std::vector<std::string>& ids, std::function<void()> then);
+    void updateBarrier(Micros now);
+    [[nodiscard]] std::vector<std::string> controllersWithProxies(Micros now) const;
     void answerConfirmedDepartures(Micros now);
     void endDepartures(const std::vector<DepartureAcks::Number>& numbers, UnavailableReason reason);
-    void departuresChanged(Micros now);
+    [[nodiscard]] std::string departuresText(Micros now) const;
     [[nodiscard]] DurableCopy::Writer departureWriter();
     void readDepartures(Micros now);
     [[nodiscard]] std::vector<std::string> voterAddresses() const;
@@ -134,7 +149,14 @@
     void writeProxies(StatusWriter& json) const;
     void writeServers(StatusWriter& json, Micros now) const;
 
+    // All servers' resources are derived anew, before the next turn of distribution; or those alone that
+    // changed in the registry.
     void serversChanged(Micros now);
+    void registryChanged(Micros now);
+    void deriveServers(Micros now);
+    void addAllServers(std::set<std::string>& ids) const;
+    void putAbsent(const std::string& id);
+    void updateModuleLists(Micros now);
     void putServer(const registry::Server& server, const proto::ServiceResource* service, Micros now);
     void configurationChanged(Micros now);
     void putDrop(const std::string& id);
@@ -184,6 +206,8 @@
     distribution::ResourceDistributor distributor_;
     distribution::ConfigurationResources configurationResources_{distributor_};
     distribution::DistributionLoop distributionLoop_;
+    bool allServersChanged_ = false, moduleListChanged_ = false;
+    Micros nextModuleList_ = 0;
     bool flushDue_ = false;  // something is to go out, as soon as the schedule lets it
     log::LoopLateness loopLateness_;
 
@@ -193,7 +217,10 @@
     OrderId lastOrder_ = 0;
     DurableCopy departureCopy_;
     DepartureAcks departureAcks_;
-    std::map<DepartureAcks::Number, Answer> departureAnswers_;
+    std::map<DepartureAcks::Number, std::vector<PendingDeparture>> departureAnswers_;
+    std::vector<PendingDeparture> newDepartures_;  // of this turn of the loop
+    std::map<std::string, Departure> departures_;  // by id
+    distribution::DistributionBarrier barrier_;
     DepartureAcks::Number lastDeparture_ = 0;
     std::set<std::string> updatesDue_;
     std::map<std::string, PeerClock> peerClocks_;  // by inside address
--- a/src/gateway/controller/departure_acks.cpp
+++ b/src/gateway/controller/departure_acks.cpp
@@ -12,13 +12,16 @@
     if (at != waiting_.end()) at->second.confirmedBy.insert(controller);
 }
 
-std::vector<DepartureAcks::Number> DepartureAcks::takeConfirmed(const std::vector<std::string>& voters) {
+std::vector<DepartureAcks::Number> DepartureAcks::takeConfirmed(const std::vector<std::string>& voters,
+                                                                const std::vector<std::string>& needed) {
     std::vector<Number> taken;
     for (const auto& [number, waiting] : waiting_) {
-        const auto count =
-            std::count_if(voters.begin(), voters.end(),
-                          [&by = waiting.confirmedBy](const auto& voter) { return by.contains(voter); });
-        if (2 * static_cast<std::size_t>(count) > voters.size()) taken.push_back(number);
+        const auto has = [&by = waiting.confirmedBy](const auto& controller) {
+            return by.contains(controller);
+        };
+        const auto count = std::count_if(voters.begin(), voters.end(), has);
+        const bool isMajority = 2 * static_cast<std::size_t>(count) > voters.size();
+        if (isMajority && std::all_of(needed.begin(), needed.end(), has)) taken.push_back(number);
     }
     for (const Number number : taken) waiting_.erase(number);
     return taken;
--- a/src/gateway/controller/departure_acks.h
+++ b/src/gateway/controller/departure_acks.h
@@ -1,6 +1,7 @@
-// Departures of servers that wait until a majority of the voters has them on disk. Only then is a server told
-// that its departure is known: neither the loss of the controllers that heard of it first, nor a cut that
-// leaves them on the smaller side, nor a restart of all of them takes it back. No I/O.
+// Departures of servers that wait to be acknowledged: until a majority of the voters has them on disk, and no
+// edge proxy of a controller in reach uses the servers any more. Neither the loss of the controllers that
+// heard of a departure first, nor a cut that leaves them on the smaller side, nor a restart of all of them
+// takes it back, and what is still on its way to a server was sent before the acknowledgement. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -19,10 +20,13 @@
 
     /// Waits from now on, until `until` at most.
     void add(Number number, Micros until);
-    /// The controller with this inside address has the departure on disk. Unknown numbers are ignored.
+    /// The controller with this inside address has the departure on disk, and none of its proxies uses the
+    /// server. Unknown numbers are ignored.
     void confirmed(Number number, const std::string& controller);
-    /// Those that more than half of `voters` (inside addresses) have confirmed; they wait no more.
-    [[nodiscard]] std::vector<Number> takeConfirmed(const std::vector<std::string>& voters);
+    /// Those that more than half of `voters` (inside addresses) have confirmed, and all of `needed`; they
+    /// wait no more.
+    [[nodiscard]] std::vector<Number> takeConfirmed(const std::vector<std::string>& voters,
+                                                    const std::vector<std::string>& needed);
     /// Those whose time is over; they wait no more.
     [[nodiscard]] std::vector<Number> takeLate(Micros now);
     /// All; none waits any more.
--- a/src/gateway/controller/desired_resources.cpp
+++ b/src/gateway/controller/desired_resources.cpp
@@ -9,6 +9,7 @@
 namespace marldale::controller {
 namespace {
 
+constexpr Micros kModuleListEvery = 250000;
 constexpr std::size_t kModulesASlice = 8;  // of the loop's time
 
 std::uint64_t markOfLines(std::uint64_t mark) { return mark * 2; }
@@ -34,27 +35,63 @@
 }
 
 void Controller::serversChanged(Micros now) {
-    std::vector<std::string> forgotten;
-    for (const auto& [key, wanted] : distributor_.wanted()) {
-        const bool isServer = key[0] == 'v' || key[0] == 'x';
-        if (!isServer || registry_.servers().count(key.substr(2)) != 0) continue;
-        if (key[0] == 'v' || registry_.departed().count(key.substr(2)) == 0) forgotten.push_back(key);
-    }
-    for (const std::string& key : forgotten) distributor_.remove(key);
-    for (const auto& [id, since] : registry_.departed()) putDrop(id);
+    allServersChanged_ = true;
+    distributionLoop_.schedule.requestUrgent(now);
+}
+
+void Controller::registryChanged(Micros now) { distributionLoop_.schedule.requestUrgent(now); }
+
+// Before a turn of distribution, so that all that came since the last one costs one pass over what changed.
+void Controller::deriveServers(Micros now) {
+    std::set<std::string> changed = registry_.takeChanged();
+    if (std::exchange(allServersChanged_, false)) addAllServers(changed);
+    if (changed.empty()) return;
     std::map<std::string_view, const proto::ServiceResource*> services;
     for (const proto::ServiceResource& service : configurations_.configuration().services)
         services[service.name()] = &service;
+    for (const std::string& id : changed) {
+        const auto server = registry_.servers().find(id);
+        if (server == registry_.servers().end()) {
+            putAbsent(id);
+            continue;
+        }
+        const auto service = services.find(server->second.said.service());
+        putServer(server->second, service == services.end() ? nullptr : service->second, now);
+    }
+    moduleListChanged_ = true;
+}
+
+void Controller::addAllServers(std::set<std::string>& ids) const {
+    for (const auto& [key, wanted] : distributor_.wanted()) {
+        if (key[0] == 'v' || key[0] == 'x') ids.insert(key.substr(2));
+    }
+    for (const auto& [id, server] : registry_.servers()) ids.insert(id);
+    for (const auto& [id, since] : registry_.departed()) ids.insert(id);
+}
+
+// Of a server that is not in the registry.
+void Controller::putAbsent(const std::string& id) {
+    distributor_.remove("v " + id);
+    if (registry_.departed().count(id) != 0) {
+        putDrop(id);
+    } else {
+        distributor_.remove("x " + id);
+    }
+}
+
+// A module compares its whole list of servers and judges all of them: changes that come in quick succession
+// go to it together. What may not be used any more has been told to the proxies by name before.
+void Controller::updateModuleLists(Micros now) {
+    if (!moduleListChanged_ || now < nextModuleList_) return;
+    moduleListChanged_ = false;
+    nextModuleList_ = now + kModuleListEvery;
     std::vector<distribution::ServerSpec> specs;
     specs.reserve(registry_.servers().size());
     for (const auto& [id, server] : registry_.servers()) {
         specs.push_back({id, server.said.service(), server.said.zone(), server.said.free_places(),
                          server.said.emptying(), registry_.coldLeft(server, now)});
-        const auto service = services.find(server.said.service());
-        putServer(server, service == services.end() ? nullptr : service->second, now);
     }
     steering_.servers(now, specs);
-    distributionLoop_.schedule.requestUrgent(now);
 }
 
 // Said also to proxies that may hold the server from another controller.
@@ -129,6 +166,8 @@
         flushDue_ = true;
         return;
     }
+    deriveServers(now);
+    updateModuleLists(now);
     for (auto& [id, proxy] : proxies_) admit(id, proxy, now);
     for (distribution::ResourceDistributor::Batch& batch : distributor_.turn(now)) {
         fillColdTimes(batch.lines, now);
@@ -147,6 +186,7 @@
         }
     }
     sendServersWhole(now);
+    updateBarrier(now);
     if (const Micros due = distributor_.nextDue(); due != INT64_MAX)
         distributionLoop_.schedule.requestAt(due);
     arm();
--- a/src/gateway/controller/durable_copy.cpp
+++ b/src/gateway/controller/durable_copy.cpp
@@ -4,8 +4,7 @@
 
 namespace marldale::controller {
 
-void DurableCopy::change(std::string text) {
-    text_ = std::move(text);
+void DurableCopy::change() {
     ++version_;
     write();
 }
@@ -19,7 +18,7 @@
     if (writing_ || durable_ == version_) return;
     if (!writer_) return written(version_, true);
     writing_ = true;
-    writer_(text_, [this, version = version_](bool succeeded) {
+    writer_(text_(), [this, version = version_](bool succeeded) {
         writing_ = false;
         written(version, succeeded);
     });
--- a/src/gateway/controller/durable_copy.h
+++ b/src/gateway/controller/durable_copy.h
@@ -17,12 +17,15 @@
     /// and every change counts as durable at once.
     using Writer = std::function<void(const std::string&, Written)>;
 
-    explicit DurableCopy(Writer writer) : writer_(std::move(writer)) {}
+    /// Makes the present text. Called once a write, however many changes came before it.
+    using Text = std::function<std::string()>;
+
+    DurableCopy(Writer writer, Text text) : writer_(std::move(writer)), text_(std::move(text)) {}
     DurableCopy(const DurableCopy&) = delete;
     DurableCopy& operator=(const DurableCopy&) = delete;
 
-    /// The text is this from now on.
-    void change(std::string text);
+    /// The text is another one from now on.
+    void change();
     /// Calls `then` once all changes so far are durable: now, or later.
     void whenDurable(std::function<void()> then);
     /// After a write that failed: tries again.
@@ -38,7 +41,7 @@
     void written(Version version, bool succeeded);
 
     Writer writer_;
-    std::string text_;
+    Text text_;
     Version version_ = 0, durable_ = 0;
     bool writing_ = false;
     std::deque<Waiting> waiting_;  // by version
--- a/src/gateway/controller/proxies.cpp
+++ b/src/gateway/controller/proxies.cpp
@@ -116,7 +116,7 @@
         if (load.tries() > load.failed()) registry_.alive(now, load.server());
     }
     for (const std::string& gone : report.voided()) {
-        if (registry_.voided(now, gone)) serversChanged(now);
+        if (registry_.voided(now, gone)) registryChanged(now);
     }
     steering_.sums(id->second, proxies_.at(id->second).peer.zone(), report);
 }
--- a/src/gateway/controller/server_updates.cpp
+++ b/src/gateway/controller/server_updates.cpp
@@ -43,7 +43,11 @@
     news->set_sender_whole(whole(now));
     for (const std::string& id : ids) {
         const auto at = registry_.servers().find(id);
-        if (at != registry_.servers().end()) *news->add_servers() = registry_.wordOf(at->second, now);
+        if (at != registry_.servers().end()) {
+            *news->add_servers() = registry_.wordOf(at->second, now);
+        } else if (!all && registry_.departed().count(id) != 0) {
+            *news->add_servers() = registry_.departure(id, now);
+        }
     }
     // Also those that have gone: whoever was down or cut off when they went has not heard of it.
     if (all) {
@@ -62,24 +66,24 @@
 void Controller::receiveUpdates(const std::shared_ptr<Link>& link, const proto::ServerUpdates& news) {
     const Micros now = steadyNow();
     bool changed = false;
-    proto::Frame urgent;
+    std::vector<std::string> ids;
     const Micros delay = delayOf(link.get());
     for (const proto::Server& update : news.servers()) {
+        ids.push_back(update.id());
         const proto::Server said = agedUpdate(update, delay);
         const auto what = registry_.heard(now, said);
         changed =
             changed || what == registry::Registry::News::changed || what == registry::Registry::News::urgent;
-        // Passed on once: the one that heard it may be gone before it has told everyone.
-        if (what == registry::Registry::News::urgent) *urgent.mutable_updates()->add_servers() = said;
-    }
-    if (urgent.has_updates()) {
-        sendToPeers(urgent);
-        departuresChanged(now);
+        if (what != registry::Registry::News::urgent) continue;
+        noteDeparture(said.id());
+        // Passed on once, with the next updates: whoever heard it first may be gone before it has told
+        // everyone.
+        updatesDue_.insert(said.id());
     }
     if (news.whole() && news.sender_whole()) gotWhole_ = true;
-    if (changed) serversChanged(now);
+    if (changed) registryChanged(now);
     if (news.number() == 0) return;
-    departureCopy_.whenDurable([link, number = news.number()] {
+    whenDeparturesAreKnown(ids, [link, number = news.number()] {
         proto::Frame answer;
         answer.mutable_updates_ack()->set_number(number);
         link->send(answer);
@@ -115,11 +119,11 @@
     const auto what = registry_.heard(now, said);
     if (what != registry::Registry::News::old) updatesDue_.insert(said.id());
     if (what == registry::Registry::News::changed || what == registry::Registry::News::urgent)
-        serversChanged(now);
-    if (what == registry::Registry::News::urgent) departuresChanged(now);
+        registryChanged(now);
+    if (what == registry::Registry::News::urgent) noteDeparture(said.id());
     const bool leaves = what == registry::Registry::News::urgent || said.emptying() || said.gone();
     if (!leaves) return answer({});
-    acknowledgeDeparture(said, std::move(answer), now);
+    acknowledgeDeparture(said.id(), std::move(answer), now);
 }
 
 void Controller::leave(const std::string& id, Answer answer) {
--- a/src/gateway/distribution/distribution_schedule.h
+++ b/src/gateway/distribution/distribution_schedule.h
@@ -16,9 +16,11 @@
 
     /// Something is to go out.
     void request(Micros now) { due_ = std::min(due_, std::max(now, lastTurn_ + interval_)); }
-    /// Something is to go out that waits for nothing: a server that may get no more requests, a proxy that
-    /// has just come.
-    void requestUrgent(Micros now) { due_ = std::min(due_, now); }
+    /// Something is to go out that waits for nothing but those that come with it: a server that may get no
+    /// more requests.
+    void requestUrgent(Micros now) {
+        due_ = std::min(due_, std::max(now, lastTurn_ + interval_ / kUrgentTurnsInInterval));
+    }
     /// A turn is wanted then.
     void requestAt(Micros due) { due_ = std::min(due_, due); }
     [[nodiscard]] bool due(Micros now) const { return now >= due_; }
@@ -34,6 +36,7 @@
 private:
     // A mark is answered within a fraction of `apply`, and what waited for it goes out one interval later.
     static constexpr Micros kTurnsWithinApply = 20;
+    static constexpr Micros kUrgentTurnsInInterval = 5;
 
     Micros interval_;
     Micros due_ = INT64_MAX;
--- a/src/gateway/distribution/resource_distributor.cpp
+++ b/src/gateway/distribution/resource_distributor.cpp
@@ -222,6 +222,14 @@
     return due;
 }
 
+std::optional<std::uint64_t> ResourceDistributor::oldestUnanswered() const {
+    std::optional<std::uint64_t> oldest;
+    for (const auto& [proxy, seat] : tables_.seats) {
+        if (!seat.marks.empty() && (!oldest || seat.marks.front() < *oldest)) oldest = seat.marks.front();
+    }
+    return oldest;
+}
+
 bool ResourceDistributor::unanswered(ProxyId proxy) const {
     const auto at = tables_.seats.find(proxy);
     return at != tables_.seats.end() && !at->second.marks.empty();
--- a/src/gateway/distribution/resource_distributor.h
+++ b/src/gateway/distribution/resource_distributor.h
@@ -7,6 +7,7 @@
 
 #include <cstdint>
 #include <map>
+#include <optional>
 #include <string>
 #include <utility>
 #include <vector>
@@ -60,6 +61,9 @@
     /// When the next turn has something to send without a further change or answer: at the end of the wait
     /// for a silent proxy. INT64_MAX where nothing waits.
     [[nodiscard]] Micros nextDue() const;
+    /// The number of the last turn, and of the oldest one that some proxy was sent and has not answered.
+    [[nodiscard]] std::uint64_t lastTurn() const { return tables_.turn; }
+    [[nodiscard]] std::optional<std::uint64_t> oldestUnanswered() const;
     /// Whether a proxy has been sent something that it has not answered.
     [[nodiscard]] bool unanswered(ProxyId proxy) const;
 
--- a/src/gateway/edge_proxy/attempts.cpp
+++ b/src/gateway/edge_proxy/attempts.cpp
@@ -142,8 +142,9 @@
         finish(request, outOfTime(*request));
         return false;
     }
-    // The server may have gone, or others may have used up what a cold one bears.
-    if (!server.usable() || !tables_.coldAllows(server, now)) {
+    // The server may have gone, or nobody can say whether it has, or others may have used up what a cold one
+    // bears.
+    if (!server.usable() || !tables_.view().mayChoose(now) || !tables_.coldAllows(server, now)) {
         giveBack();
         pickServer(request, now);
         return false;
--- a/src/gateway/edge_proxy/binding.cpp
+++ b/src/gateway/edge_proxy/binding.cpp
@@ -1,5 +1,6 @@
 #include "gateway/edge_proxy/binding.h"
 
+#include <algorithm>
 #include <random>
 
 #include "gateway/log/log.h"
@@ -92,6 +93,7 @@
     if (link_) checkLink(now);
     choose(now);
     noteStranded(now);
+    noteView(now);
     if (!search_.searching()) settledAt_ = now;
     arm(search_.searching() && now - settledAt_ < kSeekFor ? kTickSearching : kTick);
 }
@@ -123,6 +125,17 @@
     ends_.stranded(is);
 }
 
+// For the log: while the view's lease has run out, requests wait, and are refused after a while.
+void Binding::noteView(Micros now) {
+    const bool mayChoose = ends_.view.mayChoose(now);
+    if (mayChoose == mayChoose_) return;
+    mayChoose_ = mayChoose;
+    log::info(mayChoose ? "view_in_force" : "view_late", {{"controller", selection_.address()},
+                                                          {"until_us", ends_.view.until() - now},
+                                                          {"round_trip_us", selection_.delay().roundTrip},
+                                                          {"held_us", selection_.delay().held}});
+}
+
 void Binding::choose(Micros now) {
     if (stopping_ || !search_.mayDial(now)) return;
     for (const proto::Peer& peer : view_.control()) selection_.know(peer);
@@ -157,6 +170,7 @@
     link_ = std::move(link);
     search_.settled();
     selection_.bound(now, address);
+    ends_.view.bound(now);
     const transport::Link* raw = link_.get();
     link_->start({[this, raw](const proto::Frame& frame) {
                       if (link_.get() != raw) return;
@@ -178,8 +192,10 @@
 
 void Binding::heard(const proto::Frame& frame) {
     const Micros now = steadyNow();
+    ends_.view.heard(now);
     if (frame.has_batch()) {
         const proto::ResourceBatch& batch = frame.batch();
+        if (batch.fresh()) ends_.view.copied();
         if (!ends_.obey(batch, now)) return leave(LeaveReason::olderConfiguration);
         if (batch.mark() != 0) {
             proto::Frame answer;
@@ -194,6 +210,7 @@
 void Binding::heartbeat(const proto::Heartbeat& heartbeat, Micros now) {
     if (heartbeat.edge_proxies() > 0) proxies_ = heartbeat.edge_proxies();
     selection_.heartbeat(now, heartbeat, ends_.index());
+    if (const auto sentAt = selection_.sentNoEarlier(heartbeat)) ends_.view.proven(std::min(now, *sentAt));
     for (const proto::Peer& peer : heartbeat.controllers()) {
         selection_.know(peer);
         view_.met(peer);
@@ -208,6 +225,7 @@
                           {"why", textOf(reason)},
                           {"contact_age_us", selection_.contactAge(now)}});
     selection_.left(now, reason);
+    ends_.view.unbound();
     std::exchange(link_, nullptr)->close();
 }
 
--- a/src/gateway/edge_proxy/binding.h
+++ b/src/gateway/edge_proxy/binding.h
@@ -17,6 +17,7 @@
 #include "gateway/settings/settings.h"
 #include "gateway/transport/datagrams.h"
 #include "gateway/transport/link.h"
+#include "gateway/upstream/view_lease.h"
 
 namespace marldale::edge_proxy {
 
@@ -29,6 +30,7 @@
         std::function<bool(const proto::ResourceBatch&, Micros)> obey;
         std::function<std::uint64_t()> index;  // of the configuration that is held
         std::function<proto::LoadReport(Micros)> sums;
+        upstream::ViewLease& view;
         std::function<void(bool)> stranded;  // no controller in contact with a majority is in reach
     };
     Binding(boost::asio::io_context& io, const settings::Settings& settings, Ends ends);
@@ -51,6 +53,7 @@
     void leave(LeaveReason reason);
     void closeLink(LeaveReason reason);
     void noteStranded(Micros now);
+    void noteView(Micros now);
 
     boost::asio::io_context& io_;
     std::uint64_t incarnation_;
@@ -62,7 +65,7 @@
     ControllerSelection selection_;
     ControllerSearch search_;
     std::shared_ptr<transport::Link> link_;
-    bool stranded_ = false, stopping_ = false;
+    bool stranded_ = false, stopping_ = false, mayChoose_ = true;
     Micros nextReport_ = 0, settledAt_ = 0;
     Micros armedFor_ = 0;
     log::LoopLateness lateness_;
--- a/src/gateway/program/program.cpp
+++ b/src/gateway/program/program.cpp
@@ -20,6 +20,7 @@
 #include "gateway/edge_proxy/binding.h"
 #include "gateway/edge_proxy/request_forwarder.h"
 #include "gateway/log/log.h"
+#include "gateway/settings/contact_limits.h"
 #include "gateway/settings/settings.h"
 
 ABSL_FLAG(std::string, settings, "", "the settings file; else what MARLDALE_CONFIG names");
@@ -133,6 +134,8 @@
 int proxy(const std::string& path, const settings::Settings& settings, HeldSignals& held) {
     boost::asio::io_context io(1);
     upstream::Tables tables;
+    tables.view() = upstream::ViewLease(settings::viewLease(settings.bounds),
+                                        edge_proxy::selectionLimits(settings.bounds).silent);
     edge_proxy::ForwarderSettings rules;
     rules.front = settings.front;
     rules.readiness = settings.readiness;
@@ -156,7 +159,7 @@
              return true;
          },
          [&] { return tables.index(); }, [&](Micros now) { return forwarder.takeLoadReport(now); },
-         [&](bool is) { forwarder.stranded(is); }});
+         tables.view(), [&](bool is) { forwarder.stranded(is); }});
     if (auto s = forwarder.listen(); !s.ok()) return fault("cannot_start", s);
     if (auto s = binding.start(); !s.ok()) return fault("cannot_start", s);
     const Signals signals(
--- a/src/gateway/registry/registry.cpp
+++ b/src/gateway/registry/registry.cpp
@@ -17,6 +17,11 @@
 
 }  // namespace
 
+void Registry::noteChange(const std::string& id) {
+    ++changes_;
+    changed_.insert(id);
+}
+
 Registry::News Registry::heard(Micros now, const proto::Server& said) {
     if (said.id().empty() || departed_.count(said.id()) != 0) return News::old;
     const Micros at = now - std::max<Micros>(0, said.heard_ago());
@@ -41,7 +46,7 @@
 Registry::News Registry::heardLate(Server& server, const proto::Server& said) {
     if (!said.emptying() || server.said.emptying()) return News::old;
     server.said.set_emptying(true);
-    ++changes_;
+    noteChange(server.said.id());
     return News::urgent;
 }
 
@@ -53,7 +58,7 @@
         servers_.erase(known);
     }
     departed_[id] = at;
-    ++changes_;
+    noteChange(id);
     return News::urgent;
 }
 
@@ -62,6 +67,7 @@
     if (before != byAddress_.end()) {
         departed_[before->second] = now;
         servers_.erase(before->second);
+        noteChange(before->second);
     }
     byAddress_[said.address()] = said.id();
 }
@@ -87,7 +93,7 @@
     if (departing) server.said.set_emptying(true);
     server.heardAt = std::max(server.heardAt, at);
     if (!emptied && !changed) return News::same;
-    ++changes_;
+    noteChange(said.id());
     return emptied ? News::urgent : News::changed;
 }
 
@@ -104,7 +110,7 @@
     server.orderAt = now;
     server.coldUntil = server.coldByOrder ? now + settings_.hintCold : now - age + said.cold_left();
     byAddress_[said.address()] = said.id();
-    ++changes_;
+    noteChange(said.id());
 }
 
 void Registry::alive(Micros now, const std::string& id) {
@@ -117,7 +123,7 @@
     byAddress_.erase(at->second.said.address());
     servers_.erase(at);
     departed_[id] = now;
-    ++changes_;
+    noteChange(id);
     return true;
 }
 
@@ -128,12 +134,16 @@
         server.coldByOrder = true;
         server.orderAt = now;
         server.coldUntil = std::max(server.coldUntil, now + (warm == warmUp.end() ? 0 : warm->second));
-        ++changes_;
+        noteChange(id);
     }
 }
 
 bool Registry::tick(Micros now) {
-    std::erase_if(departed_, [&](const auto& at) { return now - at.second > settings_.goneKept; });
+    std::erase_if(departed_, [&](const auto& at) {
+        const bool isForgotten = now - at.second > settings_.goneKept;
+        if (isForgotten) changed_.insert(at.first);
+        return isForgotten;
+    });
     if (now - lastHeard_ > kDeafAfter) return false;
     const auto silent = static_cast<Micros>(settings_.missed * static_cast<double>(settings_.beatEvery));
     const std::size_t before = servers_.size();
@@ -143,6 +153,7 @@
         byAddress_.erase(server.said.address());
         // One that was leaving has ended; any other comes back with its next beat.
         if (server.said.emptying()) departed_[at.first] = now;
+        changed_.insert(at.first);
         return true;
     });
     if (servers_.size() != before) ++changes_;
@@ -151,12 +162,15 @@
 
 std::vector<proto::Server> Registry::departures(Micros now) const {
     std::vector<proto::Server> out;
-    for (const auto& [id, at] : departed_) {
-        proto::Server& word = out.emplace_back();
-        word.set_id(id);
-        word.set_gone(true);
-        word.set_heard_ago(now - at);
-    }
+    for (const auto& [id, at] : departed_) out.push_back(departure(id, now));
+    return out;
+}
+
+proto::Server Registry::departure(const std::string& id, Micros now) const {
+    proto::Server out;
+    out.set_id(id);
+    out.set_gone(true);
+    out.set_heard_ago(now - departed_.at(id));
     return out;
 }
 
--- a/src/gateway/registry/registry.h
+++ b/src/gateway/registry/registry.h
@@ -4,7 +4,9 @@
 #pragma once
 
 #include <map>
+#include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "marldale/gateway/internal.pb.h"
@@ -65,10 +67,14 @@
     [[nodiscard]] const std::map<std::string, Micros>& departed() const { return departed_; }
     // The same for another controller, or for the disk.
     [[nodiscard]] std::vector<proto::Server> departures(Micros now) const;
+    /// Of one that has departed.
+    [[nodiscard]] proto::Server departure(const std::string& id, Micros now) const;
     [[nodiscard]] Micros coldLeft(const Server& server, Micros now) const;
     // For another controller.
     [[nodiscard]] proto::Server wordOf(const Server& server, Micros now) const;
     [[nodiscard]] std::uint64_t changes() const { return changes_; }
+    /// The servers that have come, changed or gone since the last call, and departures that were forgotten.
+    [[nodiscard]] std::set<std::string> takeChanged() { return std::exchange(changed_, {}); }
 
 private:
     // Its id is never taken again, whatever its call count says. `at`: when it was said.
@@ -79,6 +85,7 @@
     void claimAddress(const proto::Server& said, Micros now);
     // Takes over how long the server is still cold; returns whether that changed by more than a beat's noise.
     static bool updateColdTime(Server& server, const proto::Server& said, Micros at, Micros now);
+    void noteChange(const std::string& id);
     News update(Server& server, const proto::Server& said, Micros at, Micros now, bool isNew);
 
     Settings settings_;
@@ -87,6 +94,7 @@
     std::map<std::string, Micros> departed_;
     Micros lastHeard_ = 0;
     std::uint64_t changes_ = 0;
+    std::set<std::string> changed_;  // ids, since they were taken
 };
 
 }  // namespace marldale::registry
--- a/src/gateway/settings/contact_limits.h
+++ b/src/gateway/settings/contact_limits.h
@@ -11,4 +11,9 @@
 // to find another controller and to take its copy.
 [[nodiscard]] inline Micros quorumContactLimit(const Bounds& bounds) { return bounds.apply * 3 / 5; }
 
+// How long an edge proxy may go on choosing servers after the last proof that it holds all its controller
+// knew: its lease on its view. A controller that has told its proxies of a departure waits for their answers,
+// or for so long, before the departure is acknowledged.
+[[nodiscard]] inline Micros viewLease(const Bounds& bounds) { return bounds.apply * 3 / 4; }
+
 }  // namespace marldale::settings
--- a/src/gateway/upstream/tables.cpp
+++ b/src/gateway/upstream/tables.cpp
@@ -388,6 +388,7 @@
 }
 
 Pick Tables::pick(Service& service, Kind kind, std::span<const ServerPtr> tried, Micros now) {
+    if (!view_.mayChoose(now)) return {Room::full, nullptr};
     if (service.stale) refresh(service);
     options_.clear();
     beside_.clear();
--- a/src/gateway/upstream/tables.h
+++ b/src/gateway/upstream/tables.h
@@ -18,6 +18,7 @@
 #include "attempts/gate.h"
 #include "gateway/upstream/budget.h"
 #include "gateway/upstream/sliding_limit.h"
+#include "gateway/upstream/view_lease.h"
 #include "marldale/gateway/internal.pb.h"
 #include "policy/types.h"
 
@@ -165,6 +166,9 @@
     [[nodiscard]] bool takeFurther(Service& service, Micros now);
     // Another incarnation has answered from its address.
     void voided(Server& server);
+    /// Until when servers may be chosen by what is held; `pick` keeps to it.
+    [[nodiscard]] ViewLease& view() { return view_; }
+    [[nodiscard]] const ViewLease& view() const { return view_; }
     void strand(bool stranded) { stranded_ = stranded; }
     [[nodiscard]] bool stranded() const { return stranded_; }
     [[nodiscard]] std::size_t servers() const { return servers_.size(); }
@@ -214,6 +218,7 @@
     std::unordered_map<std::string, ServerPtr, Hash, std::equal_to<>> servers_;
     std::set<std::string> emptied_;  // zones
     std::vector<std::string> voidedIds_;
+    ViewLease view_{0, 0};  // of nobody, until a controller is followed
     bool stranded_ = false;
     Defaults defaults_;
     Draw draw_{1};
--- a/tests/gateway/controller_search_test.cpp
+++ b/tests/gateway/controller_search_test.cpp
@@ -100,9 +100,11 @@
                        index = batch.index();
                        return true;
                    },
-                   [this] { return index; }, [](Micros) { return proto::LoadReport(); }, [](bool) {}}) {}
+                   [this] { return index; }, [](Micros) { return proto::LoadReport(); }, view, [](bool) {}}) {
+    }
 
     std::uint64_t index = 0;
+    upstream::ViewLease view{1500 * kMillisecond, 1100 * kMillisecond};
     Binding binding;
 };
 
--- a/tests/gateway/departures_test.cpp
+++ b/tests/gateway/departures_test.cpp
@@ -33,6 +33,9 @@
 
 // A disk that ends a write when it is told to.
 struct Disk {
+    DurableCopy::Text text() {
+        return [this] { return present; };
+    }
     DurableCopy::Writer writer() {
         return [this](const std::string& text, DurableCopy::Written written) {
             texts.push_back(text);
@@ -41,6 +44,7 @@
     }
     void end(bool succeeded) { std::exchange(pending, nullptr)(succeeded); }
 
+    std::string present;  // what a write that begins now writes
     std::vector<std::string> texts;
     DurableCopy::Written pending;
 };
@@ -56,10 +60,10 @@
     acks.confirmed(7, "b");
     acks.confirmed(7, "no voter");
     acks.confirmed(8, "c");
-    CHECK(acks.takeConfirmed(voters).empty());
+    CHECK(acks.takeConfirmed(voters, {}).empty());
     acks.confirmed(7, "d");
-    CHECK(acks.takeConfirmed(voters) == Numbers{7});
-    CHECK(acks.takeConfirmed(voters).empty());
+    CHECK(acks.takeConfirmed(voters, {}) == Numbers{7});
+    CHECK(acks.takeConfirmed(voters, {}).empty());
     CHECK(acks.takeLate(2 * kSecond).empty());
 }
 
@@ -70,21 +74,23 @@
     CHECK(acks.takeLate(kSecond - 1).empty());
     CHECK(acks.takeLate(kSecond) == Numbers{1});
     acks.confirmed(1, "a");
-    CHECK(acks.takeConfirmed({"a"}).empty());
+    CHECK(acks.takeConfirmed({"a"}, {}).empty());
     CHECK(acks.takeAll() == Numbers{2});
     CHECK(acks.takeAll().empty());
-    CHECK(acks.takeConfirmed({}).empty());
+    CHECK(acks.takeConfirmed({}, {}).empty());
 }
 
 TEST_CASE("Nobody is told of a change before the disk has it", "[departures]") {
     Disk disk;
-    DurableCopy copy(disk.writer());
+    DurableCopy copy(disk.writer(), disk.text());
     std::vector<int> told;
     copy.whenDurable([&] { told.push_back(0); });
     CHECK(told == std::vector<int>{0});  // nothing has changed
-    copy.change("one");
+    disk.present = "one";
+    copy.change();
     copy.whenDurable([&] { told.push_back(1); });
-    copy.change("two");
+    disk.present = "two";
+    copy.change();
     copy.whenDurable([&] { told.push_back(2); });
     CHECK(disk.texts == std::vector<std::string>{"one"});  // one write at a time
     CHECK(told.size() == 1);
--- /dev/null
+++ b/tests/gateway/view_lease_test.cpp
@@ -0,0 +1,149 @@
+// Leases on views: a proxy chooses no server by a view that may be too old, and a controller counts on it
+// (incident DRAIN, issue 39).
+#include "gateway/upstream/view_lease.h"
+
+#include <catch2/catch.hpp>
+#include <vector>
+
+#include "gateway/distribution/distribution_barrier.h"
+#include "gateway/distribution/distribution_schedule.h"
+#include "gateway/upstream/tables.h"
+
+namespace marldale {
+namespace {
+
+using distribution::DistributionBarrier;
+using upstream::ViewLease;
+
+constexpr Micros kMs = 1000, kSecond = 1000000;
+constexpr Micros kLease = 1500 * kMs, kSilent = 1100 * kMs;
+
+ViewLease boundAt(Micros now) {
+    ViewLease lease(kLease, kSilent);
+    lease.bound(now);
+    lease.copied();
+    return lease;
+}
+
+}  // namespace
+
+TEST_CASE("Servers are chosen while the view is proven, and where nobody is bound", "[view_lease]") {
+    ViewLease lease(kLease, kSilent);
+    CHECK(lease.mayChoose(0));
+    CHECK(lease.mayChoose(100 * kSecond));
+    lease = boundAt(10 * kSecond);
+    CHECK(lease.mayChoose(10 * kSecond));
+    lease.heard(11 * kSecond);
+    lease.proven(10 * kSecond + 800 * kMs);
+    CHECK(lease.mayChoose(12 * kSecond));
+    lease.proven(10 * kSecond);  // an older proof changes nothing
+    CHECK(lease.mayChoose(12 * kSecond));
+    lease.unbound();
+    CHECK(lease.mayChoose(60 * kSecond));
+}
+
+TEST_CASE("A view that is proven too late chooses no server, one that is cut off serves on", "[view_lease]") {
+    ViewLease lease = boundAt(10 * kSecond);
+    // Heartbeats go on coming, from ever longer ago: the link is full.
+    for (Micros now = 10 * kSecond; now <= 14 * kSecond; now += 300 * kMs) {
+        lease.heard(now);
+        lease.proven(10 * kSecond + (now - 10 * kSecond) / 4);
+        const Micros age = now - (10 * kSecond + (now - 10 * kSecond) / 4);
+        CHECK(lease.mayChoose(now) == (age < kLease));
+    }
+    // Nothing comes at all.
+    CHECK_FALSE(lease.mayChoose(14 * kSecond + kSilent / 2));
+    CHECK(lease.mayChoose(15 * kSecond + kSilent));
+}
+
+TEST_CASE("After another controller is bound its fresh copy is waited for, within bounds", "[view_lease]") {
+    ViewLease lease = boundAt(10 * kSecond);
+    lease.bound(20 * kSecond);
+    CHECK_FALSE(lease.mayChoose(20 * kSecond));
+    lease.proven(20 * kSecond + 100 * kMs);  // a heartbeat says nothing of a copy that hasn't come
+    lease.heard(20 * kSecond + 900 * kMs);
+    CHECK_FALSE(lease.mayChoose(21 * kSecond));
+    CHECK(lease.mayChoose(20 * kSecond + kLease));  // it has none to give
+    lease.copied();
+    CHECK(lease.mayChoose(21 * kSecond));
+    CHECK_FALSE(lease.mayChoose(20 * kSecond + kLease));
+}
+
+TEST_CASE("Tables choose no server on a view without a lease", "[view_lease]") {
+    upstream::Tables tables;
+    gateway::proto::ResourceBatch batch;
+    auto* line = batch.add_resources()->mutable_server();
+    line->set_id("i");
+    line->set_service("s");
+    line->set_address("10.0.0.1:80");
+    auto* route = batch.add_resources()->mutable_route();
+    route->set_host_name("a.example");
+    route->set_path_start("/");
+    route->add_shares()->set_service("s");
+    route->mutable_shares(0)->set_share(1);
+    REQUIRE(tables.obey(batch, 0));
+    upstream::Service& service = tables.serviceOf(*tables.route("a.example", "/"));
+    const auto roomAt = [&](Micros now) {
+        return tables.pick(service, upstream::Kind::readOnly, {}, now).room;
+    };
+    tables.view() = boundAt(10 * kSecond);
+    CHECK(roomAt(10 * kSecond) == upstream::Room::found);
+    tables.view().heard(10 * kSecond + kLease);
+    CHECK(roomAt(10 * kSecond + kLease) == upstream::Room::full);
+    tables.view().proven(10 * kSecond + kLease / 2);
+    CHECK(roomAt(10 * kSecond + kLease) == upstream::Room::found);
+}
+
+TEST_CASE("A turn is passed once all proxies have answered it, or their leases have run out",
+          "[view_lease]") {
+    DistributionBarrier barrier(kLease);
+    std::vector<int> passed;
+    const auto note = [&passed](int which) { return [&passed, which] { passed.push_back(which); }; };
+    barrier.update(0, 4, DistributionBarrier::kNoTurn);
+    barrier.wait(5, 0, note(5));
+    barrier.wait(7, 0, note(7));
+    barrier.update(10 * kMs, 4, DistributionBarrier::kNoTurn);
+    CHECK(passed.empty());  // nobody has answered, but nothing has left yet
+    barrier.update(20 * kMs, 6, 5);
+    CHECK(passed.empty());
+    CHECK(barrier.nextDue() == 20 * kMs + kLease);
+    barrier.update(30 * kMs, 6, 6);  // 6 is open, 5 was answered by all
+    CHECK(passed == std::vector<int>{5});
+    barrier.update(40 * kMs, 7, 6);
+    CHECK(passed.size() == 1);
+    // Asked again, it is judged by when the turn's frames left, not by when it was asked.
+    barrier.wait(6, kSecond, note(6));
+    barrier.update(20 * kMs + kLease, 7, 6);
+    CHECK(passed == std::vector<int>{5, 6});
+    barrier.update(40 * kMs + kLease, 7, 6);
+    CHECK(passed == std::vector<int>{5, 6, 7});
+    CHECK(barrier.nextDue() == INT64_MAX);
+    // An old turn is passed at once.
+    barrier.wait(3, 3 * kSecond, note(3));
+    barrier.update(3 * kSecond, 7, 3);
+    CHECK(passed.back() == 3);
+}
+
+TEST_CASE("What waits for a turn that never leaves is forgotten", "[view_lease]") {
+    DistributionBarrier barrier(kLease);
+    bool called = false;
+    barrier.wait(1, 0, [&called] { called = true; });
+    CHECK(barrier.nextDue() == 2 * kLease);
+    barrier.update(2 * kLease, 0, DistributionBarrier::kNoTurn);
+    CHECK(barrier.nextDue() == INT64_MAX);
+    barrier.update(3 * kLease, 1, DistributionBarrier::kNoTurn);
+    CHECK_FALSE(called);
+}
+
+TEST_CASE("Urgent turns merge what comes within a fifth of the interval", "[view_lease]") {
+    distribution::DistributionSchedule schedule(2 * kSecond);
+    schedule.requestUrgent(kSecond);
+    CHECK(schedule.due(kSecond));
+    schedule.ran(kSecond);
+    schedule.requestUrgent(kSecond + 1);
+    CHECK(schedule.nextDue() == kSecond + schedule.interval() / 5);
+    schedule.requestUrgent(3 * kSecond);
+    CHECK(schedule.nextDue() == kSecond + schedule.interval() / 5);
+}
+
+}  // namespace marldale
