--- a/src/gateway/edge_proxy/server_connection.cpp
+++ b/src/gateway/edge_proxy/server_connection.cpp
@@ -207,9 +207,11 @@
 
 void ServerConnection::close() {
     if (state_ == State::closed) return;
+    // A request that nobody waits for any more must not reach the server later.
+    const bool isAnswered = state_ != State::busy || reader_.state() == AnswerReader::State::whole;
     state_ = State::closed;
     sleep();
-    stream_->close();
+    isAnswered ? stream_->close() : stream_->abort();
     const auto self = weak_from_this().lock();  // the owner may let go of it
     owner_.onClosed(*this);
 }
--- a/src/gateway/http_server/asio_event_loop.cpp
+++ b/src/gateway/http_server/asio_event_loop.cpp
@@ -102,6 +102,12 @@
         socket_.close(ignored);
     }
 
+    void abort() override {
+        error_code ignored;
+        socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+        socket_.close(ignored);
+    }
+
 private:
     Socket socket_;
 };
--- a/src/gateway/http_server/event_loop.h
+++ b/src/gateway/http_server/event_loop.h
@@ -49,6 +49,8 @@
     [[nodiscard]] virtual bool allAcknowledged() = 0;
     virtual void shutdownSend() = 0;
     virtual void close() = 0;
+    /// Closes it, and drops what was written and has not left this machine: after `close` that is still sent.
+    virtual void abort() = 0;
 };
 
 class AlarmHandler {
--- a/tests/gateway/simulated_network.h
+++ b/tests/gateway/simulated_network.h
@@ -64,6 +64,10 @@
     [[nodiscard]] bool allAcknowledged() const { return unacknowledged_ == 0; }
     [[nodiscard]] Micros sincePeerAcknowledged() const;
     void close();
+    void abort() {
+        abortedAt_ = now();
+        close();
+    }
     void shutdownSend() { finishedByProxy = true; }
 
     // At the end of the simulation: what was still on its way, or waited for, holds the connection itself.
@@ -86,6 +90,7 @@
     std::deque<std::function<void()>> held_;  // while cut off
     std::size_t unacknowledged_ = 0;
     Micros acknowledgedAt_ = 0, cutOffAt_ = 0;
+    std::optional<Micros> abortedAt_;
     boost::asio::mutable_buffer space_;
     ByteStream::HandlerPtr reader_, writer_;
     bool readerWoken_ = false;
@@ -107,6 +112,8 @@
     }
     // Of a full link: bytes to the proxy wait so long in its queue, those of all connections alike.
     Micros inboundQueue = 0;
+    // The same the other way: what was written waits in the socket, from where an abort takes it back.
+    Micros outboundQueue = 0;
     // Of a busy loop: so long after the bytes were taken from the socket a read's handler is called. 0: at
     // once.
     Micros readDelay = 0;
@@ -205,6 +212,9 @@
     void close() override {
         if (connection_) connection_->close();
     }
+    void abort() override {
+        if (connection_) connection_->abort();
+    }
 
 private:
     SimulatedLoop* loop_;
@@ -342,9 +352,12 @@
     if (onProxyWrite) onProxyWrite(all, accepted);
     if (accepted == 0) return 0;
     unacknowledged_ += accepted;
-    const auto arrival = [self = shared_from_this(), text = all.substr(0, accepted)] { self->arrive(text); };
+    const Micros leavesAt = now() + loop_.outboundQueue;
+    const auto arrival = [self = shared_from_this(), text = all.substr(0, accepted), leavesAt] {
+        if (!self->abortedAt_ || *self->abortedAt_ >= leavesAt) self->arrive(text);
+    };
     if (!cutOff_) {
-        loop_.after(kTravel, arrival);
+        loop_.after(kTravel + loop_.outboundQueue, arrival);
         return accepted;
     }
     held_.push_back(arrival);
