--- a/src/gateway/controller/controller.h
+++ b/src/gateway/controller/controller.h
@@ -111,11 +111,14 @@
     void sendToPeers(const proto::Frame& frame);
     void heartbeatFromPeer(const transport::Link* link, const proto::Heartbeat& heartbeat, Micros now);
     void loadReport(const transport::Link* link, const proto::LoadReport& report, Micros now);
-    void updateAcknowledged(const transport::Link* link, std::uint64_t number);
+    void updateAcknowledged(const transport::Link* link, const proto::ServerUpdatesAck& ack);
     void acknowledgeDeparture(const std::string& id, Answer answer, Micros now);
     void askForDepartures(Micros now);
     void noteDeparture(const std::string& id);
-    void whenDeparturesAreKnown(const std::vector<std::string>& ids, std::function<void()> then);
+    // Once no proxy that is bound here acts on a view from before these departures.
+    void whenInForce(const std::vector<std::string>& ids, std::function<void()> then);
+    void confirmDepartures(const std::shared_ptr<transport::Link>& link, std::uint64_t number,
+                           const std::vector<std::string>& ids);
     void updateBarrier(Micros now);
     [[nodiscard]] std::vector<std::string> controllersWithProxies(Micros now) const;
     void answerConfirmedDepartures(Micros now);
--- a/src/gateway/controller/departure_acks.h
+++ b/src/gateway/controller/departure_acks.h
@@ -20,11 +20,12 @@
 
     /// Waits from now on, until `until` at most.
     void add(Number number, Micros until);
-    /// The controller with this inside address has the departure on disk, and none of its proxies uses the
-    /// server. Unknown numbers are ignored.
-    void confirmed(Number number, const std::string& controller);
-    /// Those that more than half of `voters` (inside addresses) have confirmed, and all of `needed`; they
-    /// wait no more.
+    /// The controller with this inside address has the departure on disk. Unknown numbers are ignored.
+    void durableAt(Number number, const std::string& controller);
+    /// No edge proxy of the controller with this inside address uses the server any more.
+    void inForceAt(Number number, const std::string& controller);
+    /// Those that are on the disks of more than half of `voters`, and in force at all of `needed` (inside
+    /// addresses); they wait no more.
     [[nodiscard]] std::vector<Number> takeConfirmed(const std::vector<std::string>& voters,
                                                     const std::vector<std::string>& needed);
     /// Those whose time is over; they wait no more.
@@ -35,7 +36,7 @@
 private:
     struct Waiting {
         Micros until = 0;
-        std::set<std::string> confirmedBy;
+        std::set<std::string> durableAt, inForceAt;  // inside addresses
     };
     std::map<Number, Waiting> waiting_;
 };
--- a/src/gateway/controller/departures.cpp
+++ b/src/gateway/controller/departures.cpp
@@ -71,8 +71,12 @@
     sendToPeers(frame);
     departureAcks_.add(number, now + kAcknowledgedWithin);
     departureAnswers_.emplace(number, std::move(departures));
-    whenDeparturesAreKnown(ids, [this, number] {
-        departureAcks_.confirmed(number, settings_.inside());
+    departureCopy_.whenDurable([this, number] {
+        departureAcks_.durableAt(number, settings_.inside());
+        answerConfirmedDepartures(steadyNow());
+    });
+    whenInForce(ids, [this, number] {
+        departureAcks_.inForceAt(number, settings_.inside());
         answerConfirmedDepartures(steadyNow());
     });
     arm();
@@ -84,19 +88,34 @@
     departureCopy_.change();
 }
 
-// On this controller's disk, and in force at its proxies.
-void Controller::whenDeparturesAreKnown(const std::vector<std::string>& ids, std::function<void()> then) {
+void Controller::whenInForce(const std::vector<std::string>& ids, std::function<void()> then) {
+    const Micros now = steadyNow();
     std::uint64_t turn = 0;
     for (const std::string& id : ids) {
         const auto at = departures_.find(id);
         turn = std::max(turn, at == departures_.end() ? distributor_.lastTurn() + 1 : at->second.turn);
     }
-    departureCopy_.whenDurable([this, turn, then = std::move(then)]() mutable {
-        const Micros now = steadyNow();
-        barrier_.wait(turn, now, std::move(then));
-        if (turn > distributor_.lastTurn()) distributionLoop_.schedule.requestUrgent(now);
-        updateBarrier(now);
-        wakeDistribution(now);
+    barrier_.wait(turn, now, std::move(then));
+    if (turn > distributor_.lastTurn()) distributionLoop_.schedule.requestUrgent(now);
+    updateBarrier(now);
+    wakeDistribution(now);
+}
+
+// Both are told to the controller that asks, each as soon as it holds: a disk that hangs holds up nobody
+// else.
+void Controller::confirmDepartures(const std::shared_ptr<Link>& link, std::uint64_t number,
+                                   const std::vector<std::string>& ids) {
+    departureCopy_.whenDurable([link, number] {
+        proto::Frame answer;
+        answer.mutable_updates_ack()->set_number(number);
+        answer.mutable_updates_ack()->set_durable(true);
+        link->send(answer);
+    });
+    whenInForce(ids, [link, number] {
+        proto::Frame answer;
+        answer.mutable_updates_ack()->set_number(number);
+        answer.mutable_updates_ack()->set_in_force(true);
+        link->send(answer);
     });
 }
 
@@ -119,9 +138,12 @@
     return out;
 }
 
-void Controller::updateAcknowledged(const Link* link, std::uint64_t number) {
+void Controller::updateAcknowledged(const Link* link, const proto::ServerUpdatesAck& ack) {
+    const bool isOfOlderRelease = !ack.durable() && !ack.in_force();
     for (const auto& [address, peer] : peers_) {
-        if (peer.link.get() == link) departureAcks_.confirmed(number, address);
+        if (peer.link.get() != link) continue;
+        if (ack.durable() || isOfOlderRelease) departureAcks_.durableAt(ack.number(), address);
+        if (ack.in_force() || isOfOlderRelease) departureAcks_.inForceAt(ack.number(), address);
     }
     answerConfirmedDepartures(steadyNow());
 }
--- a/src/gateway/controller/peer_links.cpp
+++ b/src/gateway/controller/peer_links.cpp
@@ -150,7 +150,7 @@
             break;
         case proto::Frame::kRaft: replica_->receive(now, frame.raft()); break;
         case proto::Frame::kUpdates: receiveUpdates(link, frame.updates()); break;
-        case proto::Frame::kUpdatesAck: updateAcknowledged(link.get(), frame.updates_ack().number()); break;
+        case proto::Frame::kUpdatesAck: updateAcknowledged(link.get(), frame.updates_ack()); break;
         case proto::Frame::kHello: heardHello(link, frame.hello()); break;
         case proto::Frame::kHeartbeat: heartbeatFromPeer(link.get(), frame.heartbeat(), now); break;
         case proto::Frame::kMark:
--- a/src/gateway/controller/server_updates.cpp
+++ b/src/gateway/controller/server_updates.cpp
@@ -82,12 +82,7 @@
     }
     if (news.whole() && news.sender_whole()) gotWhole_ = true;
     if (changed) registryChanged(now);
-    if (news.number() == 0) return;
-    whenDeparturesAreKnown(ids, [link, number = news.number()] {
-        proto::Frame answer;
-        answer.mutable_updates_ack()->set_number(number);
-        link->send(answer);
-    });
+    if (news.number() != 0) confirmDepartures(link, news.number(), ids);
 }
 
 // Hints only: what is on disk is late by some seconds, so servers of it go soon if they don't beat. It spares
--- a/src/gateway/edge_proxy/controller_selection.cpp
+++ b/src/gateway/edge_proxy/controller_selection.cpp
@@ -9,13 +9,6 @@
 #include "gateway/settings/contact_limits.h"
 
 namespace marldale::edge_proxy {
-namespace {
-
-// A controller whose contact is older than so many times the limit has lost it, rather than being late.
-constexpr int kContactsUntilMissed = 2;
-
-}  // namespace
-
 SelectionLimits selectionLimits(const settings::Bounds& bounds) {
     SelectionLimits out;
     out.contact = settings::quorumContactLimit(bounds);
@@ -99,13 +92,12 @@
 }
 
 std::optional<Micros> ControllerSelection::sentNoEarlier(const proto::Heartbeat& heartbeat) const {
-    if (heartbeat.age() > kContactsUntilMissed * limits_.contact) return std::nullopt;
     return marks_.sentNoEarlier(heartbeat.echo(), heartbeat.echo_held());
 }
 
 void ControllerSelection::heartbeat(Micros now, const proto::Heartbeat& heartbeat, std::uint64_t heldIndex) {
     // Well over the limit: an election alone, which strikes all controllers alike, is waited for.
-    toldNoContact_ = heartbeat.age() > kContactsUntilMissed * limits_.contact;
+    toldNoContact_ = heartbeat.age() > 2 * limits_.contact;
     delay_ = {0, heartbeat.echo_held(), heartbeat.age(), false};
     if (const auto sent = marks_.sentNoEarlier(heartbeat.echo(), 0))
         delay_.roundTrip = now - *sent - heartbeat.echo_held();
--- a/src/gateway/edge_proxy/controller_selection.h
+++ b/src/gateway/edge_proxy/controller_selection.h
@@ -75,9 +75,7 @@
     [[nodiscard]] std::uint64_t mark(Micros now) { return marks_.next(now); }
     // `heldIndex`: of the configuration that this proxy holds.
     void heartbeat(Micros now, const proto::Heartbeat& heartbeat, std::uint64_t heldIndex);
-    /// When the heartbeat was sent at the earliest; nothing where its echo says nothing, or where its
-    /// controller tells of a contact with a majority of so long ago that it may have missed what the others
-    /// know.
+    /// When the heartbeat was sent at the earliest; nothing where its echo says nothing.
     [[nodiscard]] std::optional<Micros> sentNoEarlier(const proto::Heartbeat& heartbeat) const;
     // Whether it must be left now. `heardAt`: when anything came last. Called several times a second.
     [[nodiscard]] std::optional<LeaveReason> check(Micros now, Micros heardAt);
--- a/src/gateway/upstream/view_lease.h
+++ b/src/gateway/upstream/view_lease.h
@@ -7,6 +7,7 @@
 #pragma once
 
 #include <algorithm>
+#include <cstdint>
 
 #include "policy/types.h"
 
@@ -18,16 +19,21 @@
     /// out of reach rather than late.
     ViewLease(Micros lease, Micros silent) : lease_(lease), silent_(silent) {}
 
-    /// Another controller is followed. What is held may be older than what it would send.
+    /// Another controller is followed. What is held may be older than what it would send. Its copy is waited
+    /// for once, however many controllers are tried before one can give it.
     void bound(Micros now) {
+        if (isCopied_) copyAwaitedFrom_ = now;
         isBound_ = true;
         isCopied_ = false;
-        provenAt_ = heardAt_ = now;
+        boundAt_ = heardAt_ = now;
     }
     /// The link has ended.
     void unbound() { isBound_ = false; }
     /// Its fresh copy is in force.
-    void copied() { isCopied_ = true; }
+    void copied() {
+        isCopied_ = true;
+        provenAt_ = boundAt_;
+    }
     /// Anything has come from the controller.
     void heard(Micros now) { heardAt_ = now; }
     /// All that the controller had sent until then is in force.
@@ -40,17 +46,18 @@
         if (!isBound_) return INT64_MAX;
         return isCopied_ ? provenAt_ + lease_ : 0;
     }
-    /// From when on it counts as cut off, if nothing else is heard.
+    /// From when on the proxy counts as cut off, if nothing else is heard: without a copy or a proof for so
+    /// long nobody else can count on it either.
     [[nodiscard]] Micros cutOffFrom() const {
         if (!isBound_) return 0;
-        return isCopied_ ? heardAt_ + silent_ : std::min(heardAt_ + silent_, provenAt_ + lease_);
+        return std::min(heardAt_ + silent_, isCopied_ ? provenAt_ + 2 * lease_ : copyAwaitedFrom_ + lease_);
     }
     [[nodiscard]] bool mayChoose(Micros now) const { return now < until() || now >= cutOffFrom(); }
 
 private:
     Micros lease_, silent_;
     bool isBound_ = false, isCopied_ = false;
-    Micros provenAt_ = 0, heardAt_ = 0;
+    Micros boundAt_ = 0, copyAwaitedFrom_ = 0, provenAt_ = 0, heardAt_ = 0;
 };
 
 }  // namespace marldale::upstream
