--- a/tests/tools/hard_days_test.py
+++ b/tests/tools/hard_days_test.py
@@ -15,6 +15,7 @@
 from hard_days.play import Verdict  # noqa: E402
 from hard_days.scenarios import FEWEST_KINDS, MOST_KINDS, MOST_REMOVED, SCENARIOS, write_day  # noqa: E402
 from hard_days.site import Site  # noqa: E402
+from hard_days.variants import VariantError, with_bound, with_larger_downloads  # noqa: E402
 
 SITE = """
 name = "test"
@@ -148,5 +149,33 @@
             self.assertTrue(Verdict.parse("{" + rest + found + "}").broke(), found)
 
 
+class VariantsTest(unittest.TestCase):
+    """Copies of a site for trials."""
+
+    TEXT = """[bounds]
+drain_ms = 900
+[prices]
+drain_ms = 7
+classes = [
+  { name = "reads", kind = "safe", resp_bytes = { mean = 10.0, max = 20.0 } },
+  { name = "files", kind = "download", resp_bytes = { mean = 10.0, spread = 0.6, max = 20.0 } },
+]
+"""
+
+    def test_a_bound_alone_is_changed(self) -> None:
+        """Not a line of the same name elsewhere."""
+        self.assertEqual(with_bound(self.TEXT, "drain_ms", "500"), self.TEXT.replace("= 900", "= 500"))
+        with self.assertRaises(VariantError):
+            with_bound(self.TEXT, "apply_ms", "500")
+
+    def test_downloads_alone_grow(self) -> None:
+        """Other answers stay as they are."""
+        grown = with_larger_downloads(self.TEXT, 2.5)
+        self.assertIn("mean = 25.0, spread = 0.6, max = 50.0", grown)
+        self.assertIn("mean = 10.0, max = 20.0", grown)
+        with self.assertRaises(VariantError):
+            with_larger_downloads("", 2.5)
+
+
 if __name__ == "__main__":
     unittest.main()
--- a/tools/hard_days/scenarios.py
+++ b/tools/hard_days/scenarios.py
@@ -1,4 +1,4 @@
-"""Generators of days: the operators' five points, planned work alone, servers that leave, and a mix of any kinds.
+"""Generators of days: the operators' five points, planned work alone, servers that leave, full links, and a mix of any kinds.
 
 Each draws its parameters from the day's seed. A day overlaps two to four kinds of trouble, with configuration changes
 between them.
@@ -302,6 +302,25 @@
     return entries, draw.closing(0.2)
 
 
+def full_links(draw: Draw) -> tuple[list[Entry], Closing | None]:
+    """Servers leave in order all day, while some are slow and clients give up: requests wait, and are abandoned.
+
+    Meant for a copy of the site with larger downloads, which fill the edge machines' links (--downloads).
+    """
+    entries = draw.changes(1.5, draw.last, draw.between(2.0, 5.0))
+    at = draw.between(1.5, 3.0)
+    while at < draw.last - draw.site.catch_up:
+        kind = draw.pick(draw.listed("release", "scale_in"))
+        entries.append(_departures(draw, at, kind))
+        at += draw.between(3.0, 8.0)
+    for kind in draw.some(draw.listed("give_up", "srv_slow", "srv_grey"), 1, 3):
+        share = round(draw.between(0.1, 0.4), 2)
+        strength = round(draw.between(2, 4), 1) if kind == "srv_slow" else None
+        how = "slow" if kind == "srv_grey" else ""
+        entries.append(draw.entry(draw.between(1.0, 6.0), kind, draw.between(5, draw.last), share=share, x=strength, how=how))
+    return entries, draw.closing(0.1)
+
+
 # Kinds that strike machines and take `on`; without it the bench strikes edge machines.
 _ON_MACHINES = frozenset("herd_kill node_kill node_freeze node_slow roll_term hup".split())
 
@@ -328,6 +347,7 @@
     "5": wrong_answers,
     "planned": planned_work,
     "departures": departures,
+    "full_links": full_links,
     "mix": mixed,
 }
 
