--- a/Makefile
+++ b/Makefile
@@ -3,6 +3,14 @@
 
 BUILD := cmake --build
 
+# Compiler results are shared with other clones where ccache is installed; paths below this one are cached as relative.
+ifneq ($(shell command -v ccache),)
+export CMAKE_C_COMPILER_LAUNCHER := ccache
+export CMAKE_CXX_COMPILER_LAUNCHER := ccache
+export CCACHE_BASEDIR := $(CURDIR)
+export CCACHE_NOHASHDIR := 1
+endif
+
 # Installs what is missing, of Debian's packages.
 packages:
 	tools/packages all
