--- a/bench/standin/live_planner.cpp
+++ b/bench/standin/live_planner.cpp
@@ -38,7 +38,7 @@
 }
 
 Json classOf(const ClassSettings& k) {
-    Json out{{"name", k.name},    {"aimUs", k.aim},           {"giveUpUs", k.giveUp},
+    Json out{{"name", k.name},    {"aimUs", k.latencyTarget}, {"giveUpUs", k.giveUp},
              {"points", k.worth}, {"lateWorth", k.lateWorth}, {"idempotency", word(k.repeat)}};
     Json zones = Json::array();
     for (std::uint32_t zone = 0; zone < 32; ++zone) {
@@ -112,7 +112,7 @@
                    {"relay", {{"address", at.relay}}},
                    {"known", {{"rev", kFirstRev}, {"all", true}, {"targets", targetsOf(s, known, base)}}},
                    {"settings",
-                    {{"me", set.me},
+                    {{"me", set.plannerIndex},
                      {"balancers", set.planners},
                      {"failureDomains", config.zones},
                      {"locality", config.zones[set.myZone]},
@@ -129,7 +129,7 @@
                      {"extra",
                       {{"admission", word(set.admission)},
                        {"agents", set.proxies},
-                       {"perTry", set.perTryAims},
+                       {"perTry", set.tryTimeoutFactor},
                        {"backlog", set.backlogLines},
                        {"envelope", set.envelopeLines},
                        {"pushRate", set.pushRate},
--- a/src/decisions/membership/source_arbiter.cpp
+++ b/src/decisions/membership/source_arbiter.cpp
@@ -98,12 +98,12 @@
     return share;
 }
 
-std::optional<ServerSums> SourceArbiter::admit(SourceId source, const ServerSums& row, Micros now) {
+std::optional<ServerStats> SourceArbiter::admit(SourceId source, const ServerStats& row, Micros now) {
     const Key key{Kind::server, row.server, row.fromZone};
     const double share = part(source, key, row.period, row.tries > 0, now);
     if (share <= 0) return std::nullopt;
     if (share >= 1) return row;
-    ServerSums out = row;
+    ServerStats out = row;
     out.tries = scaled(row.tries, share);
     out.failed = std::min(out.tries, scaled(row.failed, share));
     if (row.failed < row.tries && out.failed == out.tries && out.tries > 0) --out.failed;  // there is a mean
--- a/src/decisions/membership/source_arbiter.h
+++ b/src/decisions/membership/source_arbiter.h
@@ -51,7 +51,7 @@
     explicit SourceArbiter(ArbiterRules rules) : rules_(rules) {}
 
     // What the module is to be told of a row; nothing if it is left out.
-    [[nodiscard]] std::optional<ServerSums> admit(SourceId source, const ServerSums& row, Micros now);
+    [[nodiscard]] std::optional<ServerStats> admit(SourceId source, const ServerStats& row, Micros now);
     [[nodiscard]] std::optional<ProxyDemand> admit(SourceId source, const ProxyDemand& row, Micros now);
 
     // The source has spoken, of whatever.
--- a/src/gateway/distribution/resource_distributor.cpp
+++ b/src/gateway/distribution/resource_distributor.cpp
@@ -31,11 +31,11 @@
 
 // ---- The port ----
 
-double ResourceDistributor::Port::worth(const std::string& /*zone*/, const std::string& key,
-                                        const Wanted* now, Hash /*held*/) const {
+double ResourceDistributor::Port::priority(const std::string& /*zone*/, const std::string& key,
+                                           const Wanted* now, Hash /*held*/) const {
     // Servers that go and zones that are emptied or filled do not wait for the slowest proxy.
     const bool urgent = now != nullptr ? now->urgent : key[0] == 'v' || key[0] == 'z';
-    if (urgent) return policy::kUrgentWorth;
+    if (urgent) return policy::kUrgentPriority;
     return key[0] == 'v' ? 0 : 1;  // the zones' words before their servers'
 }
 
@@ -80,7 +80,7 @@
     const auto add = [&](const std::string& key, const Wanted* wanted) {
         const Hash held = table.held(key);
         const Hash now = wanted == nullptr ? 0 : wanted->hash;
-        if (held != now) changes.push_back({port.worth(table.place, key, wanted, held), key, wanted});
+        if (held != now) changes.push_back({port.priority(table.scope, key, wanted, held), key, wanted});
     };
     for (const std::string& key : distributor.journal_.changedAfter(position)) {
         const auto wanted = distributor.wanted_.find(key);
@@ -92,13 +92,13 @@
     }
     for (const std::string& key : removed) add(key, nullptr);
     std::stable_sort(changes.begin(), changes.end(),
-                     [](const Change& a, const Change& b) { return a.worth > b.worth; });
+                     [](const Change& a, const Change& b) { return a.priority > b.priority; });
     if (changes.empty()) {
         position = distributor.journal_.last();
         return;
     }
-    const bool urgent = changes.front().worth >= policy::kUrgentWorth;
-    if (!table.unanswered.empty() && !urgent) return;
+    const bool urgent = changes.front().priority >= policy::kUrgentPriority;
+    if (!table.unacknowledged.empty() && !urgent) return;
     for (const Change& change : changes) {
         port.line(id, change.key, change.now);
         table.pending[change.key] = change.now == nullptr ? 0 : change.now->hash;
@@ -106,7 +106,7 @@
     position = distributor.journal_.last();
     table.mark(turn, now, table.bound);
     for (const ProxyId proxy : table.bound) write(proxy, static_cast<double>(changes.size()));
-    if (table.bound.empty()) table.settle();
+    if (table.bound.empty()) table.acknowledgePending();
 }
 
 void ResourceDistributor::Tables::run() {
@@ -142,10 +142,10 @@
 void ResourceDistributor::leave(ProxyId proxy) {
     joining_.erase(proxy);
     holding_.erase(proxy);
-    if (tables_.seats.count(proxy) != 0) tables_.leave(proxy);
+    if (tables_.proxyStates.count(proxy) != 0) tables_.leave(proxy);
 }
 
-void ResourceDistributor::answered(ProxyId proxy, std::uint64_t mark) { tables_.answer(proxy, mark); }
+void ResourceDistributor::answered(ProxyId proxy, std::uint64_t mark) { tables_.acknowledge(proxy, mark); }
 
 ResourceDistributor::PartNumber ResourceDistributor::addPart(std::vector<proto::Resource> lines) {
     parts_.push_back(std::move(lines));
@@ -196,7 +196,7 @@
     ++tables_.turn;
     std::map<std::string, std::set<ProxyId>> fresh;  // by zone
     for (const auto& [proxy, zone] : joining_) {
-        tables_.seats[proxy];
+        tables_.proxyStates[proxy];
         holding_.erase(proxy);
         fresh[zone].insert(proxy);
     }
@@ -213,7 +213,7 @@
 Micros ResourceDistributor::nextDue() const {
     Micros due = INT64_MAX;
     for (const auto& [id, table] : tables_.tables) {
-        if (!table.unanswered.empty()) {
+        if (!table.unacknowledged.empty()) {
             due = std::min(due, table.markedAt + kTimeout);
         } else if (tables_.positions.at(id) != journal_.last()) {
             due = std::min(due, tables_.now);  // its wait has just ended
@@ -224,15 +224,15 @@
 
 std::optional<std::uint64_t> ResourceDistributor::oldestUnanswered() const {
     std::optional<std::uint64_t> oldest;
-    for (const auto& [proxy, seat] : tables_.seats) {
+    for (const auto& [proxy, seat] : tables_.proxyStates) {
         if (!seat.marks.empty() && (!oldest || seat.marks.front() < *oldest)) oldest = seat.marks.front();
     }
     return oldest;
 }
 
 bool ResourceDistributor::unanswered(ProxyId proxy) const {
-    const auto at = tables_.seats.find(proxy);
-    return at != tables_.seats.end() && !at->second.marks.empty();
+    const auto at = tables_.proxyStates.find(proxy);
+    return at != tables_.proxyStates.end() && !at->second.marks.empty();
 }
 
 }  // namespace marldale::distribution
--- a/src/gateway/distribution/resource_distributor.h
+++ b/src/gateway/distribution/resource_distributor.h
@@ -74,10 +74,10 @@
             return distributor.wanted_;
         }
         static Hash hash(const Wanted& line) { return line.hash; }
-        [[nodiscard]] double worth(const std::string& zone, const std::string& key, const Wanted* now,
-                                   Hash held) const;
+        [[nodiscard]] double priority(const std::string& zone, const std::string& key, const Wanted* now,
+                                      Hash held) const;
         static std::size_t slot(const std::string& /*zone*/) { return 0; }
-        static double fits(std::size_t /*proxies*/, bool /*urgent*/) {
+        static double lineBudget(std::size_t /*proxies*/, bool /*urgent*/) {
             return 1e9;
         }  // links are wide: nothing waits for room
         static bool mayWrite(const std::set<ProxyId>& /*proxies*/, double /*lines*/, bool /*urgent*/) {
--- a/src/gateway/distribution/steering.cpp
+++ b/src/gateway/distribution/steering.cpp
@@ -70,8 +70,8 @@
         ClassSettings c;
         c.name = std::to_string(k);
         const Micros any = std::max({spec.aim[0], spec.aim[1], spec.aim[2], Micros{1000}});
-        c.aim = spec.aim[k] > 0 ? spec.aim[k] : any;
-        c.giveUp = spec.giveUp[k] > 0 ? spec.giveUp[k] : 10 * c.aim;
+        c.latencyTarget = spec.aim[k] > 0 ? spec.aim[k] : any;
+        c.giveUp = spec.giveUp[k] > 0 ? spec.giveUp[k] : 10 * c.latencyTarget;
         c.worth = 1.0 / (1 + spec.rank[k]);
         c.repeat = k == 1 ? Repeat::fragile : Repeat::retryable;
         c.writes = k == 1;
@@ -97,7 +97,7 @@
 }
 
 void Steering::servers(Micros now, const std::vector<ServerSpec>& servers) {
-    std::map<std::string, ListNews> news;
+    std::map<std::string, ServerListUpdate> news;
     for (auto& [name, service] : services_) news[name];
     for (const ServerSpec& spec : servers) {
         const auto at = services_.find(spec.service);
@@ -146,7 +146,7 @@
         for (auto& [name, service] : services_) {
             const auto id = service.ids.find(sum.server());
             if (id == service.ids.end()) continue;
-            service.events.emplace_back(ServerSums{
+            service.events.emplace_back(ServerStats{
                 id->second, zoneOf(zone), sum.tries(), sum.failed(), sums.period(), sum.mean_time(), {}});
             break;
         }
@@ -181,7 +181,7 @@
 bool Steering::isDue(Service& service, Micros now) const {
     if (proxies_.empty()) {
         std::erase_if(service.events, [](const Event& e) {
-            return !std::holds_alternative<ListNews>(e) && !std::holds_alternative<ProxyLeft>(e);
+            return !std::holds_alternative<ServerListUpdate>(e) && !std::holds_alternative<ProxyLeft>(e);
         });
         return service.events.size() >= 64;
     }
--- a/src/lab/emulator/baselines.cpp
+++ b/src/lab/emulator/baselines.cpp
@@ -45,13 +45,13 @@
         bool out = false;
         double busy = 0;  // its last load report's first value
     };
-    void on(const ListNews& news) {
+    void on(const ServerListUpdate& news) {
         std::set<ServerId> named;
         for (const ListEntry& entry : news.entries) {
             named.insert(entry.server);
             servers_[entry.server].entry = entry;
         }
-        if (news.kind == ListNewsKind::delta || news.kind == ListNewsKind::failed) return;
+        if (news.kind == ServerListUpdateKind::delta || news.kind == ServerListUpdateKind::failed) return;
         for (auto& [id, s] : servers_) {
             if (named.count(id) == 0) s.entry.state = ServerState::gone;
         }
@@ -65,7 +65,7 @@
         fresh_.erase(l.proxy);
         waiting_.erase(l.proxy);
     }
-    void on(const ServerSums& sums) {
+    void on(const ServerStats& sums) {
         const auto at = servers_.find(sums.server);
         if (at != servers_.end() && !sums.load.empty()) at->second.busy = static_cast<double>(sums.load[0]);
     }
--- a/src/lab/emulator/instance.cpp
+++ b/src/lab/emulator/instance.cpp
@@ -13,7 +13,7 @@
 ClassSettings classOf(const ScenarioClass& k, const Scenario& s) {
     ClassSettings out;
     out.name = k.name;
-    out.aim = k.aim;
+    out.latencyTarget = k.aim;
     out.giveUp = k.giveUp;
     out.worth = k.worth;
     out.lateWorth = k.lateWorth;
@@ -37,7 +37,7 @@
     out.zones = s.fleet.zones;
     out.kinds = {"m"};
     Settings& set = out.settings;
-    set.me = number;
+    set.plannerIndex = number;
     set.planners = s.fleet.planners;
     set.seed = bytes::mixed(s.run.seed * 1000003 + number * 101 + incarnation);
     set.zones = static_cast<std::uint32_t>(s.fleet.zones.size());
@@ -57,7 +57,7 @@
     set.tipMultiple = s.box.tipMultiple;
     set.fallWithin = s.box.fallWithin;
     set.warmUp = s.box.warmUp;
-    set.perTryAims = 1;
+    set.tryTimeoutFactor = 1;
     for (const ScenarioClass& k : s.classes) {
         set.classes.push_back(classOf(k, s));
         out.classes.push_back(k.name);
--- a/src/planner/routing/beliefs.cpp
+++ b/src/planner/routing/beliefs.cpp
@@ -20,7 +20,7 @@
 
 void Beliefs::told(Micros now, const std::vector<Event>& events) {
     for (const Event& event : events) {
-        if (const auto* s = std::get_if<ServerSums>(&event); s != nullptr && s->period > 0) {
+        if (const auto* s = std::get_if<ServerStats>(&event); s != nullptr && s->period > 0) {
             const double seconds = static_cast<double>(s->period) / kSecond;
             // Little's law: what is on its way is what comes in a second times how long it takes.
             const double inFlight = s->tries / seconds * static_cast<double>(s->meanTime) / kSecond;
@@ -29,7 +29,7 @@
             came_[{d->proxy, d->klass}] = {d->came * kSecond / static_cast<double>(d->period), now};
         } else if (const auto* l = std::get_if<ProxyLeft>(&event)) {
             std::erase_if(came_, [&](const auto& at) { return at.first.first == l->proxy; });
-        } else if (const auto* list = std::get_if<ListNews>(&event)) {
+        } else if (const auto* list = std::get_if<ServerListUpdate>(&event)) {
             for (const ListEntry& entry : list->entries) {
                 if (entry.state != ServerState::gone) continue;
                 std::erase_if(seen_, [&](const auto& at) { return at.first.first == entry.server; });
--- a/src/planner/routing/junction.cpp
+++ b/src/planner/routing/junction.cpp
@@ -15,11 +15,11 @@
 // and server, demand by proxy and class; last what the planner itself asked for.
 struct Rank {
     using Place = std::tuple<int, std::uint32_t, std::uint32_t>;
-    Place operator()(const ListNews&) const { return {0, 0, 0}; }
+    Place operator()(const ServerListUpdate&) const { return {0, 0, 0}; }
     Place operator()(const ProxyJoined& e) const { return {1, e.proxy, 0}; }
     Place operator()(const ProxyLeft& e) const { return {1, e.proxy, 0}; }
     Place operator()(const Acknowledged& e) const { return {1, e.proxy, 0}; }
-    Place operator()(const ServerSums& e) const { return {2, e.fromZone, e.server}; }
+    Place operator()(const ServerStats& e) const { return {2, e.fromZone, e.server}; }
     Place operator()(const ProxyDemand& e) const { return {3, e.proxy, e.klass}; }
     Place operator()(const ProbeResult& e) const { return {4, e.server, 0}; }
     Place operator()(const auto& /*slices, timers*/) const { return {5, 0, 0}; }
@@ -125,7 +125,7 @@
     std::vector<Event> made;
     if (!translator_.report(report, made)) return arbiter_.spoilt(source, now);
     for (const Event& event : made) {
-        if (const auto* sums = std::get_if<ServerSums>(&event)) {
+        if (const auto* sums = std::get_if<ServerStats>(&event)) {
             auto taken = arbiter_.admit(source, *sums, now);
             if (!taken) continue;
             const auto own = loads_.find(taken->server);
--- a/src/planner/routing/translator.cpp
+++ b/src/planner/routing/translator.cpp
@@ -24,7 +24,7 @@
       proxies_(config.settings.proxies),
       envelopeLines_(config.settings.envelopeLines) {
     for (const ClassSettings& k : config.settings.classes) {
-        longestTry_ = std::max(longestTry_, limits::kGiveUpsOfATry * std::max(k.aim, k.giveUp));
+        longestTry_ = std::max(longestTry_, limits::kGiveUpsOfATry * std::max(k.latencyTarget, k.giveUp));
     }
 }
 
@@ -107,8 +107,8 @@
         return;
     }
     rev_ = news.rev;
-    ListNews event{news.rev, ListNewsKind::delta, {}};
-    if (news.whole) event.kind = input.cached ? ListNewsKind::cached : ListNewsKind::full;
+    ServerListUpdate event{news.rev, ServerListUpdateKind::delta, {}};
+    if (news.whole) event.kind = input.cached ? ServerListUpdateKind::cached : ServerListUpdateKind::full;
     std::set<ServerId> named, gone;  // gone: those that had not before, so that none is pushed out meanwhile
     const auto goes = [&](ServerId id) {
         if (servers_.at(id).entry.state != ServerState::gone) gone.insert(id);
@@ -127,8 +127,8 @@
     out.emplace_back(std::move(event));
 }
 
-ListNews Translator::wholeList() const {
-    ListNews out{rev_, ListNewsKind::cached, {}};
+ServerListUpdate Translator::wholeList() const {
+    ServerListUpdate out{rev_, ServerListUpdateKind::cached, {}};
     for (const auto& [id, server] : servers_) out.entries.push_back(server.entry);
     return out;
 }
@@ -156,7 +156,7 @@
             log_("report", "outcomes left out: no try lasts so long");
             return false;
         }
-        ServerSums sums{*server, *zone, o->tries, o->failed, o->overUs, o->meanUs, loadReport(o->load)};
+        ServerStats sums{*server, *zone, o->tries, o->failed, o->overUs, o->meanUs, loadReport(o->load)};
         out.emplace_back(std::move(sums));
     } else if (const auto* d = std::get_if<protocol::Demand>(&report)) {
         const auto klass = indexOf(classes_, d->klass);
--- a/src/planner/routing/translator.h
+++ b/src/planner/routing/translator.h
@@ -47,7 +47,7 @@
     [[nodiscard]] std::size_t serversKnown() const { return servers_.size(); }
 
     // All servers as last listed, for a module that has to start over.
-    [[nodiscard]] ListNews wholeList() const;
+    [[nodiscard]] ServerListUpdate wholeList() const;
 
 private:
     struct OrderWriter;
--- a/src/planner/wire/codec.cpp
+++ b/src/planner/wire/codec.cpp
@@ -84,13 +84,13 @@
     rosters[number] = std::move(roster);
 }
 
-ListNews listNews(std::string_view r, const Rosters& rosters) {
-    ListNews out;
+ServerListUpdate listNews(std::string_view r, const Rosters& rosters) {
+    ServerListUpdate out;
     out.version = load<std::uint64_t>(r, 6);
     const auto how = load<std::uint8_t>(r, 15);
     if (how > 3) throw Malformed("an unknown kind of registry event");
-    out.kind = static_cast<ListNewsKind>(how);
-    if (out.kind == ListNewsKind::failed) return out;
+    out.kind = static_cast<ServerListUpdateKind>(how);
+    if (out.kind == ServerListUpdateKind::failed) return out;
     const std::size_t number = load<std::uint8_t>(r, 14);
     if (number >= kRosters || !rosters[number]) throw Malformed("an unknown roster number");
     out.entries = *rosters[number];
@@ -114,8 +114,8 @@
     return out;
 }
 
-ServerSums serverSums(std::string_view r) {
-    ServerSums out;
+ServerStats serverSums(std::string_view r) {
+    ServerStats out;
     out.failed = load<std::uint32_t>(r, 6);
     out.server = load<std::uint32_t>(r, 10);
     out.period = load<std::uint32_t>(r, 14);
@@ -147,7 +147,7 @@
             return SliceDemand{load<std::uint16_t>(r, 20), load<std::uint16_t>(r, 10),
                                load<std::uint32_t>(r, 16), load<std::uint32_t>(r, 12),
                                load<std::uint32_t>(r, 6)};
-        case 1120: return SliceGiven{load<std::uint16_t>(r, 6), load<std::uint8_t>(r, 8) != 0};
+        case 1120: return SliceAssignment{load<std::uint16_t>(r, 6), load<std::uint8_t>(r, 8) != 0};
         case 1130:
             return SliceLine{load<std::uint16_t>(r, 6), load<std::uint32_t>(r, 12),
                              finite(load<float>(r, 8))};
--- a/src/planner/wire/settings.cpp
+++ b/src/planner/wire/settings.cpp
@@ -158,8 +158,8 @@
     const std::string at = "categories." + std::to_string(index) + ".";
     ClassSettings out;
     if (const std::string* name = in.find(at + "name")) out.name = *name;
-    out.aim = in.micros(at + "aimUs");
-    out.giveUp = in.micros(at + "giveUpUs", out.aim);
+    out.latencyTarget = in.micros(at + "aimUs");
+    out.giveUp = in.micros(at + "giveUpUs", out.latencyTarget);
     out.worth = in.number(at + "points", 1);
     out.lateWorth = in.number(at + "lateWorth", 0);
     out.repeat = in.word(at + "idempotency", kRepeats);
@@ -216,7 +216,7 @@
     static constexpr Word<bool> kListModes[] = {{"pushed", false}, {"on_request", true}};
     const Reader in(text, problems);
     Settings out;
-    out.me = in.count("me", 0);
+    out.plannerIndex = in.count("me", 0);
     out.planners = in.count("balancers", 1);
     const auto zones = in.list("failureDomains");
     if (zones.empty()) in.missing("failureDomains");
@@ -234,7 +234,7 @@
     if (const std::string* how = in.find("telemetry.how")) out.reportsInAnswers = *how == "answers";
     out.admission = in.word("extra.admission", kAdmissions);
     out.defaultRetry = static_cast<int>(in.count("extra.defaultRetry", 1));
-    out.perTryAims = in.number("extra.perTry", 1);
+    out.tryTimeoutFactor = in.number("extra.perTry", 1);
     readChannel(in, out);
     readRules(in, out);
     const std::uint32_t classes = in.count("categories.count");
--- a/src/policy/distribution.h
+++ b/src/policy/distribution.h
@@ -4,12 +4,12 @@
 // Proxies that join, or that stay silent, get a fresh marked copy, which is folded back later.
 //
 // The Port says what a table should say and carries the orders out:
-//   const std::map<Key, Value>& wanted(const Place&)   what the table should say now; steady within a turn
+//   const std::map<Key, Value>& wanted(const Scope&)   what the table should say now; steady within a turn
 //   Hash hash(const Value&)                            never 0
-//   double worth(const Place&, const Key&, const Value* now, Hash held)   most first; kUrgentWorth: no wait
-//   std::size_t slot(const Place&)                     which of a proxy's tables it is
-//   double fits(std::size_t proxies, bool urgent)      so many lines may go to each of as many proxies
-//   bool mayWrite(const std::set<Proxy>&, double lines, bool urgent), mayCopy(const std::set<Proxy>&)
+//   double priority(const Scope&, const Key&, const Value* now, Hash held)   most first; kUrgentPriority: no
+//   wait std::size_t slot(const Scope&)                     which of a proxy's tables it is double
+//   lineBudget(std::size_t proxies, bool urgent)      so many lines may go to each of as many proxies bool
+//   mayWrite(const std::set<Proxy>&, double lines, bool urgent), mayCopy(const std::set<Proxy>&)
 //   line(TableId, const Key&, const Value* now), drop(TableId), bind(Proxy, TableId), wrote(Proxy, double)
 // The turn's number is the mark of all that it wrote: whoever has the port sends it after the last order.
 #pragma once
@@ -21,15 +21,15 @@
 
 namespace marldale::policy {
 
-constexpr double kUrgentWorth = 1e9;
+constexpr double kUrgentPriority = 1e9;
 
-template <class Key, class Value, class Place, class Proxy, class Port>
-struct Distribution : TableStore<Key, Place, Proxy> {
-    using typename TableStore<Key, Place, Proxy>::Table;
-    using TableStore<Key, Place, Proxy>::tables, TableStore<Key, Place, Proxy>::mains;
-    using TableStore<Key, Place, Proxy>::seats;
+template <class Key, class Value, class Scope, class Proxy, class Port>
+struct Distribution : TableStore<Key, Scope, Proxy> {
+    using typename TableStore<Key, Scope, Proxy>::Table;
+    using TableStore<Key, Scope, Proxy>::tables, TableStore<Key, Scope, Proxy>::mains;
+    using TableStore<Key, Scope, Proxy>::proxyStates;
     struct Change {
-        double worth = 0;  // what goes first where not all fits
+        double priority = 0;  // what goes first where not all fits
         Key key{};
         const Value* now = nullptr;
     };
@@ -42,17 +42,17 @@
 
     // What the table's proxies lack, most valuable first.
     [[nodiscard]] std::vector<Change> differences(const Table& t) const {
-        const std::map<Key, Value>& wanted = port.wanted(t.place);
+        const std::map<Key, Value>& wanted = port.wanted(t.scope);
         std::vector<Change> diff;
         const auto add = [&](const Key& key, const Value* value, Hash held) {
-            diff.push_back({port.worth(t.place, key, value, held), key, value});
+            diff.push_back({port.priority(t.scope, key, value, held), key, value});
         };
         for (const auto& [key, value] : wanted) {
             if (const Hash held = t.held(key); held != port.hash(value)) add(key, &value, held);
         }
         for (const Key& key : t.unwanted(wanted)) add(key, nullptr, t.held(key));
         std::stable_sort(diff.begin(), diff.end(),
-                         [](const Change& a, const Change& b) { return a.worth > b.worth; });
+                         [](const Change& a, const Change& b) { return a.priority > b.priority; });
         return diff;
     }
     // Sends what differs, or holds it until the open mark is answered or has run out. What does not fit the
@@ -60,10 +60,10 @@
     void push(TableId id, Table& t) {
         std::vector<Change> diff = differences(t);
         if (diff.empty()) return;
-        const bool urgent = diff.front().worth >= kUrgentWorth;
-        if (!t.unanswered.empty() && !urgent) return;
+        const bool urgent = diff.front().priority >= kUrgentPriority;
+        if (!t.unacknowledged.empty() && !urgent) return;
         if (!t.bound.empty()) {
-            const double fits = port.fits(t.bound.size(), urgent);
+            const double fits = port.lineBudget(t.bound.size(), urgent);
             if (fits < 1) return;
             if (fits < static_cast<double>(diff.size())) diff.resize(static_cast<std::size_t>(fits));
         }
@@ -73,16 +73,16 @@
         }
         t.mark(turn, now, t.bound);
         for (const Proxy& p : t.bound) write(p, static_cast<double>(diff.size()));
-        if (t.bound.empty()) t.settle();
+        if (t.bound.empty()) t.acknowledgePending();
     }
     void write(const Proxy& p, double lines) {
-        auto& marks = seats.at(p).marks;
+        auto& marks = proxyStates.at(p).marks;
         if (marks.empty() || marks.back() != turn) marks.push_back(turn);
         port.wrote(p, lines);
     }
     void bind(const Proxy& p, TableId table) {
         Table& t = tables.at(table);
-        TableId& mine = seats.at(p).tables[port.slot(t.place)];
+        TableId& mine = proxyStates.at(p).tables[port.slot(t.scope)];
         this->release(p, mine);
         mine = table;
         t.bound.insert(p);
@@ -92,28 +92,28 @@
     }
     // A fresh marked copy of a place's table for these proxies; it is the main table where there is none.
     // Where copies are dear those that join may share the main one.
-    void bindFresh(const std::set<Proxy>& ids, const Place& place, bool share) {
-        const auto at = mains.find(place);
+    void bindFresh(const std::set<Proxy>& ids, const Scope& scope, bool share) {
+        const auto at = mains.find(scope);
         const bool alone = at == mains.end() || tables.at(at->second).bound.empty();
-        const TableId table = alone || !share ? this->add(place, !alone, now) : at->second;
+        const TableId table = alone || !share ? this->add(scope, !alone, now) : at->second;
         if (alone || !share) push(table, tables.at(table));
         if (alone) {
             if (at != mains.end()) {
                 port.drop(at->second);
                 tables.erase(at->second);
             }
-            mains[place] = table;
+            mains[scope] = table;
         }
         for (const Proxy& p : ids) bind(p, table);
     }
 
     // The timeout releases the wait; silent proxies go to a copy, so that the others are not held up.
     void releaseSilent() {
-        for (const auto& [id, silent] : this->unanswered(now - markTimeout)) {
+        for (const auto& [id, silent] : this->unacknowledged(now - markTimeout)) {
             Table& t = tables.at(id);
-            t.settle();
+            t.acknowledgePending();
             if (t.copy || silent.size() == t.bound.size() || !port.mayCopy(silent)) continue;
-            bindFresh(silent, Place(t.place), false);
+            bindFresh(silent, Scope(t.scope), false);
         }
     }
     // Copies that say the same as their main table are folded back, so that tables stay few and shared.
@@ -125,10 +125,11 @@
                 at = tables.erase(at);
                 continue;
             }
-            const TableId home = mains.at(t.place);
+            const TableId home = mains.at(t.scope);
             const Table& main = tables.at(home);
-            if (t.copy && t.unanswered.empty() && main.unanswered.empty() && now - t.madeAt >= foldAfter &&
-                t.acked == main.acked && port.mayWrite(t.bound, 1 + t.lines(), false)) {
+            if (t.copy && t.unacknowledged.empty() && main.unacknowledged.empty() &&
+                now - t.madeAt >= foldAfter && t.acked == main.acked &&
+                port.mayWrite(t.bound, 1 + t.lines(), false)) {
                 const std::set<Proxy> ids = t.bound;
                 for (const Proxy& p : ids) bind(p, home);
                 continue;
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -39,7 +39,7 @@
     const View& in;
     double told = 0, toldRate = 0, span = 0;
     Micros cycle = in.set.reportEvery;
-    void note(const ServerSums& r) { span += kCycleGain * (static_cast<double>(r.period) - span); }
+    void note(const ServerStats& r) { span += kCycleGain * (static_cast<double>(r.period) - span); }
     void tick() {
         toldRate += kCycleGain * (told * static_cast<double>(kSecond) / kTick - toldRate);
         told = 0;
@@ -65,7 +65,7 @@
     [[nodiscard]] double of(ZoneId zone, ServerId id) const {
         return factorIn(healths, std::pair(zone, id)) * linkOf(zone, in.fleet.at(id).entry.zone);
     }
-    void note(const ServerSums& r) {
+    void note(const ServerStats& r) {
         const ZoneId to = in.fleet.at(r.server).entry.zone;
         healths[{r.fromZone, r.server}].note(r, in.now, kStatHalfLifeS, failedTime(in));
         if (to != r.fromZone) links[{r.fromZone, to}].note(r, in.now, kLinkHalfLifeS, failedTime(in));
--- a/src/policy/held_lines.h
+++ b/src/policy/held_lines.h
@@ -18,14 +18,14 @@
 
 using Hash = std::uint64_t;  // of what a line says; 0 stands for "no such line"
 
-template <class Key, class Place, class Proxy>
+template <class Key, class Scope, class Proxy>
 struct HeldLines {
-    Place place{};      // which table this is, to those who know what it should say
-    bool copy = false;  // beside the main table of its place
+    Scope scope{};      // which table this is, to those who know what it should say
+    bool copy = false;  // beside the main table of its scope
     std::map<Key, Hash> acked{}, pending{};
     std::uint64_t markTurn = 0;
     Micros markedAt = 0, madeAt = 0;
-    std::set<Proxy> bound{}, unanswered{};
+    std::set<Proxy> bound{}, unacknowledged{};
 
     [[nodiscard]] double lines() const { return static_cast<double>(acked.size() + pending.size()); }
     [[nodiscard]] Hash held(const Key& key) const {
@@ -47,41 +47,41 @@
     void mark(std::uint64_t turn, Micros now, const std::set<Proxy>& by) {
         markTurn = turn;
         markedAt = now;
-        unanswered.insert(by.begin(), by.end());
+        unacknowledged.insert(by.begin(), by.end());
     }
-    void answer(const Proxy& proxy) {
-        unanswered.erase(proxy);
-        if (unanswered.empty()) settle();
+    void acknowledge(const Proxy& proxy) {
+        unacknowledged.erase(proxy);
+        if (unacknowledged.empty()) acknowledgePending();
     }
-    void settle() {  // an answer moves marked lines into the acknowledged hashes
+    void acknowledgePending() {  // an answer moves marked lines into the acknowledged hashes
         for (const auto& [key, hash] : pending) {
             acked[key] = hash;
             if (hash == 0) acked.erase(key);
         }
         pending.clear();
-        unanswered.clear();
+        unacknowledged.clear();
     }
 };
 
 // The tables, which of them are main, and of each proxy its tables and the marks that it has not answered.
-template <class Key, class Place, class Proxy>
+template <class Key, class Scope, class Proxy>
 struct TableStore {
-    using Table = HeldLines<Key, Place, Proxy>;
-    struct Seat {
+    using Table = HeldLines<Key, Scope, Proxy>;
+    struct ProxyState {
         std::map<std::size_t, TableId> tables{};  // by slot
         std::deque<std::uint64_t> marks{};        // turns that it has been sent and has not answered
     };
     std::map<TableId, Table> tables{};
-    std::map<Place, TableId> mains{};
-    std::map<Proxy, Seat> seats{};
+    std::map<Scope, TableId> mains{};
+    std::map<Proxy, ProxyState> proxyStates{};
     TableId last = 0;
 
-    TableId add(const Place& place, bool copy, Micros now) {
+    TableId add(const Scope& scope, bool copy, Micros now) {
         do {
             last = static_cast<TableId>(last % (kAllTables - 1) + 1);
         } while (tables.count(last));
         Table& t = tables[last];
-        t.place = place;
+        t.scope = scope;
         t.copy = copy;
         t.madeAt = now;
         return last;
@@ -94,7 +94,7 @@
         const auto at = tables.find(table);
         if (at == tables.end()) return;
         at->second.bound.erase(p);
-        at->second.answer(p);
+        at->second.acknowledge(p);
     }
     // The proxies of each table that holds such a line, table by table.
     [[nodiscard]] std::vector<Proxy> holders(const Key& key) const {
@@ -105,37 +105,37 @@
         return out;
     }
     // Tables with a mark of that time or before that some have not answered, and who has not.
-    [[nodiscard]] std::vector<std::pair<TableId, std::set<Proxy>>> unanswered(Micros since) const {
+    [[nodiscard]] std::vector<std::pair<TableId, std::set<Proxy>>> unacknowledged(Micros since) const {
         std::vector<std::pair<TableId, std::set<Proxy>>> out;
         for (const auto& [id, t] : tables) {
-            if (!t.unanswered.empty() && t.markedAt <= since) out.emplace_back(id, t.unanswered);
+            if (!t.unacknowledged.empty() && t.markedAt <= since) out.emplace_back(id, t.unacknowledged);
         }
         return out;
     }
     void leave(const Proxy& p) {
-        for (const auto& [slot, table] : seats[p].tables) release(p, table);
-        seats.erase(p);
+        for (const auto& [slot, table] : proxyStates[p].tables) release(p, table);
+        proxyStates.erase(p);
     }
     // An answer stands for all marks before it; the wire may carry only these bits of a mark. Tells the turn
     // that it answers, if any, and whether a table's wait is over.
-    struct Answer {
+    struct Acknowledgement {
         std::optional<std::uint64_t> turn{};
         bool over = false;
     };
-    Answer answer(const Proxy& p, std::uint64_t mark, std::uint64_t bits = ~std::uint64_t{0}) {
-        const auto at = seats.find(p);
-        if (at == seats.end()) return {};
+    Acknowledgement acknowledge(const Proxy& p, std::uint64_t mark, std::uint64_t bits = ~std::uint64_t{0}) {
+        const auto at = proxyStates.find(p);
+        if (at == proxyStates.end()) return {};
         auto& marks = at->second.marks;
         const auto hit =
             std::find_if(marks.begin(), marks.end(), [&](std::uint64_t t) { return (t & bits) == mark; });
         if (hit == marks.end()) return {};
-        Answer out{*hit, false};
+        Acknowledgement out{*hit, false};
         marks.erase(marks.begin(), hit + 1);
         for (const auto& [slot, id] : at->second.tables) {
             const auto t = tables.find(id);
             if (t == tables.end() || *out.turn < t->second.markTurn) continue;
-            t->second.answer(p);
-            out.over = out.over || t->second.unanswered.empty();
+            t->second.acknowledge(p);
+            out.over = out.over || t->second.unacknowledged.empty();
         }
         return out;
     }
--- a/src/policy/joins.h
+++ b/src/policy/joins.h
@@ -21,7 +21,7 @@
         Proxy& p = in.proxies[j.proxy];
         p.zone = j.zone;
         p.rate = j.usualRate;
-        tables.lines.seats[j.proxy];
+        tables.lines.proxyStates[j.proxy];
         joined.insert(j.proxy);
     }
     void on(const ProxyLeft& l) {
@@ -44,7 +44,7 @@
         std::vector<ProxyId> order(joined.begin(), joined.end());
         std::stable_sort(order.begin(), order.end(),
                          [&](ProxyId a, ProxyId b) { return in.proxies.at(a).rate > in.proxies.at(b).rate; });
-        std::map<Place, std::set<ProxyId>> fresh;
+        std::map<Scope, std::set<ProxyId>> fresh;
         const double each =
             static_cast<double>(in.groups.size()) * in.tableLines() + in.set.envelopeLines + 1;
         double left = tables.room(false);
@@ -59,14 +59,14 @@
             }
             joined.erase(id);
         }
-        for (const auto& [place, ids] : fresh) tables.lines.bindFresh(ids, place, in.dear);
+        for (const auto& [scope, ids] : fresh) tables.lines.bindFresh(ids, scope, in.dear);
     }
     void rebind() {
         auto& lines = tables.lines;
         for (auto& [id, p] : in.proxies) {
-            for (const auto& [g, table] : lines.seats.at(id).tables) {
-                const Place home = {homeZone(id, p.zone, g), g, p.column};
-                if (std::get<0>(lines.tables.at(table).place) == std::get<0>(home) ||
+            for (const auto& [g, table] : lines.proxyStates.at(id).tables) {
+                const Scope home = {homeZone(id, p.zone, g), g, p.column};
+                if (std::get<0>(lines.tables.at(table).scope) == std::get<0>(home) ||
                     !tables.mayWrite({id}, in.tableLines(), true))
                     continue;
                 lines.mains.count(home) ? lines.bind(id, lines.mains.at(home))
--- a/src/policy/levels.h
+++ b/src/policy/levels.h
@@ -46,7 +46,7 @@
     void fade() { demands.fade(in.now, cadence.cycle, cadence.cycle / 2, demandGain()); }
     // The limit is judged on windows of sums; after a change, sums of tries from before it are left out, lest
     // the same jam be answered over and over.
-    void note(const ServerSums& r) {
+    void note(const ServerStats& r) {
         if (in.now >= windowFrom) window[{r.fromZone, r.server}].add(r, failedTime(in));
     }
     void setLimit() {
@@ -90,7 +90,7 @@
         const std::size_t n = in.set.classes.size();
         std::vector<double> load(n, 0), keep(n, 1);
         for (const auto& [key, d] : demands.rates) {
-            load[key.second] += d.rate * static_cast<double>(in.set.classes[key.second].aim);
+            load[key.second] += d.rate * static_cast<double>(in.set.classes[key.second].latencyTarget);
         }
         const double total = std::accumulate(load.begin(), load.end(), 0.0);
         const double came = demands.total();
@@ -99,8 +99,8 @@
         std::vector<std::size_t> order(n);
         for (std::size_t c = 0; c < n; ++c) order[c] = c;
         std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-            return in.set.classes[a].worth / static_cast<double>(in.set.classes[a].aim) <
-                   in.set.classes[b].worth / static_cast<double>(in.set.classes[b].aim);
+            return in.set.classes[a].worth / static_cast<double>(in.set.classes[a].latencyTarget) <
+                   in.set.classes[b].worth / static_cast<double>(in.set.classes[b].latencyTarget);
         });
         for (const double floor : {kClassFloor, kClassLeast}) {
             for (const std::size_t c : order) {
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -22,8 +22,8 @@
     Micros nextTick = 0;
     bool due = true;  // something came that may call for orders; else they wait for the tick
 
-    void on(const ListNews& news) { servers.on(news); }
-    void on(const ServerSums& r) {
+    void on(const ServerListUpdate& news) { servers.on(news); }
+    void on(const ServerStats& r) {
         ++cadence.told;
         if (!in.fleet.count(r.server)) return;
         cadence.note(r);
@@ -38,10 +38,10 @@
     void on(const Ceiling& c) { levels.on(c); }
     void on(const ProxyJoined& j) { joins.on(j); }
     void on(const ProxyLeft& l) { joins.on(l); }
-    void on(const SliceGiven& g) { slices.on(g); }
+    void on(const SliceAssignment& g) { slices.on(g); }
     void on(const SliceLine& l) { slices.on(l); }
     void on(const Acknowledged& a) {
-        const auto answer = tables.lines.answer(a.proxy, a.mark, 0xffffU);
+        const auto answer = tables.lines.acknowledge(a.proxy, a.mark, 0xffffU);
         if (answer.turn) tables.channel.reached(*answer.turn);
         due = due || answer.over;
     }
@@ -60,8 +60,8 @@
         tables.lines.now = in.now;
         if (tables.lines.turn == 0) servers.askForList();
         for (const Event& event : events) {
-            due =
-                due || std::holds_alternative<ListNews>(event) || std::holds_alternative<ProxyJoined>(event);
+            due = due || std::holds_alternative<ServerListUpdate>(event) ||
+                  std::holds_alternative<ProxyJoined>(event);
             std::visit([this](const auto& e) { on(e); }, event);
         }
         tables.open();
--- a/src/policy/servers.h
+++ b/src/policy/servers.h
@@ -29,8 +29,8 @@
     double carried = 0;     // the most answered tries that the fading sums have held
     double calmWeight = 0;  // the most weight that healthy servers have had, cold ones by their warmth
 
-    void on(const ListNews& news) {
-        if (news.kind == ListNewsKind::failed) return askForList();
+    void on(const ServerListUpdate& news) {
+        if (news.kind == ServerListUpdateKind::failed) return askForList();
         for (const ServerId id : in.take(news)) forget(id);
     }
     // What has gone takes all that was known of it along: a fleet that is replaced all day must not gather.
--- a/src/policy/slices.h
+++ b/src/policy/slices.h
@@ -14,9 +14,9 @@
     Tables& tables;
     std::map<TableId, Slice> slices{};  // those in our charge
 
-    void on(const SliceGiven& g) {
+    void on(const SliceAssignment& g) {
         slices.erase(g.slice);
-        if (g.given) slices[g.slice].freeAt = ownerWait();
+        if (g.assigned) slices[g.slice].freeAt = ownerWait();
     }
     void on(const SliceLine& l) {
         const auto at = slices.find(l.slice);
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -74,8 +74,8 @@
 }
 
 inline double tightestAim(const std::vector<ClassSettings>& classes) {
-    double aim = static_cast<double>(classes.front().aim);
-    for (const ClassSettings& k : classes) aim = std::min(aim, static_cast<double>(k.aim));
+    double aim = static_cast<double>(classes.front().latencyTarget);
+    for (const ClassSettings& k : classes) aim = std::min(aim, static_cast<double>(k.latencyTarget));
     return aim;
 }
 
@@ -127,7 +127,7 @@
 }
 inline double valueOf(Hash hash) { return hash == 0 ? 0 : static_cast<double>((hash - 1) >> 8U) / 4096; }
 
-using Place = std::tuple<ZoneId, std::size_t,
+using Scope = std::tuple<ZoneId, std::size_t,
                          std::size_t>;  // a table's zone, group and column
 
 // The columns that each zone's servers are dealt into, with what is asked of them and what they can do.
@@ -270,14 +270,14 @@
         time *= keep;
         at = now;
     }
-    void add(const ServerSums& r, double failedTime) {
+    void add(const ServerStats& r, double failedTime) {
         const std::uint32_t bad = std::min(r.failed, r.tries);
         tries += r.tries;
         failed += bad;
         time += static_cast<double>(r.meanTime) * (r.tries - bad) + bad * failedTime;
         seconds += static_cast<double>(r.period) / kSecond;
     }
-    void note(const ServerSums& r, Micros now, double halfLifeS, double failedTime) {
+    void note(const ServerStats& r, Micros now, double halfLifeS, double failedTime) {
         fade(now, halfLifeS);
         add(r, failedTime);
     }
@@ -296,7 +296,7 @@
     Fit fit = Fit::ok;
     Micros until = 0, countFrom = 0;
     Tally seen;
-    void note(const ServerSums& r, Micros now, double halfLifeS, double failedTime) {
+    void note(const ServerStats& r, Micros now, double halfLifeS, double failedTime) {
         if (now >= countFrom) seen.note(r, now, halfLifeS, failedTime);
     }
 };
@@ -344,7 +344,7 @@
     }
     [[nodiscard]] bool warm(const Server& s) const { return age(s) >= set.warmUp; }
     // Takes over what the list says; tells which servers have started anew.
-    std::vector<ServerId> take(const ListNews& news) {
+    std::vector<ServerId> take(const ServerListUpdate& news) {
         std::set<ServerId> named;
         std::vector<ServerId> restarted;
         for (const ListEntry& entry : news.entries) {
@@ -354,7 +354,7 @@
             if (entry.bootTime > s.entry.bootTime) restarted.push_back(entry.server);
             s.entry = entry;
         }
-        if (news.kind == ListNewsKind::delta) return restarted;
+        if (news.kind == ServerListUpdateKind::delta) return restarted;
         for (auto& [id, server] : fleet) {
             if (!named.count(id)) server.entry.state = ServerState::gone;  // not in a whole list
         }
--- a/src/policy/tables.h
+++ b/src/policy/tables.h
@@ -58,8 +58,8 @@
 struct Tables : Pacer {
     const Servers& servers;
     const Levels& levels;
-    Distribution<Key, Entry, Place, ProxyId, Tables> lines{*this, kMarkTimeout, kFoldAfter};
-    std::map<Place, Content> contents{};  // copies want what their main table wants: worked out once a turn
+    Distribution<Key, Entry, Scope, ProxyId, Tables> lines{*this, kMarkTimeout, kFoldAfter};
+    std::map<Scope, Content> contents{};  // copies want what their main table wants: worked out once a turn
 
     // No table is left without a line while anything is ready, healthy or not: warm servers, else cold ones.
     void lastResort(Content& c, const Group& g, bool onlyWarm) const {
@@ -68,13 +68,13 @@
             if (fits) c[id] = {static_cast<float>(s.weight()), 0};
         }
     }
-    const Content& wanted(const Place& place) {
-        const auto [at, fresh] = contents.try_emplace(place);
-        if (fresh) at->second = contentNow(place);
+    const Content& wanted(const Scope& scope) {
+        const auto [at, fresh] = contents.try_emplace(scope);
+        if (fresh) at->second = contentNow(scope);
         return at->second;
     }
-    [[nodiscard]] Content contentNow(const Place& place) const {
-        const auto& [zone, group, column] = place;
+    [[nodiscard]] Content contentNow(const Scope& scope) const {
+        const auto& [zone, group, column] = scope;
         Content c;
         const Group& g = in.groups[group];
         std::map<ZoneId, double> met;  // among its zone's servers of this column
@@ -97,20 +97,20 @@
         return c;
     }
     [[nodiscard]] static Hash hash(const Entry& e) { return hashOf(e); }
-    [[nodiscard]] static std::size_t slot(const Place& place) { return std::get<1>(place); }
+    [[nodiscard]] static std::size_t slot(const Scope& scope) { return std::get<1>(scope); }
     // First cuts that the rules or failing servers ask for, then levels, weights by how much they shift.
     // Lines of withdrawn servers carry nothing and go last.
-    [[nodiscard]] double worth(const Place& place, Key key, const Entry* want, Hash held) const {
+    [[nodiscard]] double priority(const Scope& scope, Key key, const Entry* want, Hash held) const {
         if (key >= kLevelKey) return kLevelWorth;
         const auto s = in.fleet.find(static_cast<ServerId>(key));
         const bool ready = s != in.fleet.end() && s->second.ready();  // else withdrawn already
-        if (ready && (servers.health.of(std::get<0>(place), s->first) == 0 || in.age(s->second) < kRampStep ||
+        if (ready && (servers.health.of(std::get<0>(scope), s->first) == 0 || in.age(s->second) < kRampStep ||
                       servers.ramp(s->second) == 0))
-            return kUrgentWorth;
+            return kUrgentPriority;
         if (want != nullptr) return std::abs(want->value - valueOf(held));
         return ready ? valueOf(held) : 0;
     }
-    [[nodiscard]] double fits(std::size_t proxies, bool urgent) const {
+    [[nodiscard]] double lineBudget(std::size_t proxies, bool urgent) const {
         if (!slotOpen) return 0;
         return room(urgent) / static_cast<double>(proxies) - in.set.envelopeLines - 1;
     }
@@ -121,7 +121,7 @@
     void drop(TableId id) { in.out.push_back(DropLines{id}); }
     void bind(ProxyId id, TableId table) {
         in.proxies.at(id).bound = true;
-        in.out.push_back(Bind{id, table, in.groups[slot(lines.tables.at(table).place)].classes});
+        in.out.push_back(Bind{id, table, in.groups[slot(lines.tables.at(table).scope)].classes});
     }
 
     // Step 7: withdrawals skip the wait.
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -29,7 +29,7 @@
 
 struct ClassSettings {
     std::string name;  // a label for logs; no decision looks at it
-    Micros aim = 0;
+    Micros latencyTarget = 0;
     Micros giveUp = 0;
     double worth = 1;
     double lateWorth = 0;
@@ -42,7 +42,7 @@
 };
 
 struct Settings {
-    std::uint32_t me = 0;
+    std::uint32_t plannerIndex = 0;
     std::uint32_t planners = 1;
     std::uint64_t seed = 0;
     std::uint32_t zones = 1;
@@ -56,7 +56,7 @@
     bool goneIsAdvice = false;
     Admission admission = Admission::none;
     int defaultRetry = 1;
-    double perTryAims = 1;
+    double tryTimeoutFactor = 1;
     double pushRate = 1000;
     double backlogLines = 1000;
     double envelopeLines = 1;
@@ -91,11 +91,11 @@
     ServerState state = ServerState::ready;
 };
 
-enum class ListNewsKind : std::uint8_t { full = 0, cached = 1, delta = 2, failed = 3 };
+enum class ServerListUpdateKind : std::uint8_t { full = 0, cached = 1, delta = 2, failed = 3 };
 
-struct ListNews {
+struct ServerListUpdate {
     std::uint64_t version = 0;
-    ListNewsKind kind = ListNewsKind::full;
+    ServerListUpdateKind kind = ServerListUpdateKind::full;
     std::vector<ListEntry> entries;
 };
 struct TimerDue {
@@ -118,7 +118,7 @@
 struct ProxyLeft {
     ProxyId proxy = 0;
 };
-struct ServerSums {
+struct ServerStats {
     ServerId server = 0;
     ZoneId fromZone = 0;
     std::uint32_t tries = 0;
@@ -141,9 +141,9 @@
     std::uint32_t failed = 0;
     Micros period = 0;
 };
-struct SliceGiven {
+struct SliceAssignment {
     TableId slice = 0;
-    bool given = false;
+    bool assigned = false;
 };
 struct SliceLine {
     TableId slice = 0;
@@ -162,8 +162,8 @@
     double share = 1;
 };
 
-using Event = std::variant<ListNews, TimerDue, ProbeResult, ProxyJoined, ProxyLeft, ServerSums, ProxyDemand,
-                           SliceDemand, SliceGiven, SliceLine, Acknowledged, Ceiling>;
+using Event = std::variant<ServerListUpdate, TimerDue, ProbeResult, ProxyJoined, ProxyLeft, ServerStats,
+                           ProxyDemand, SliceDemand, SliceAssignment, SliceLine, Acknowledged, Ceiling>;
 
 // ---- Actions ----
 
--- a/src/policy/weights.h
+++ b/src/policy/weights.h
@@ -43,7 +43,7 @@
         paces.erase(id);
         shifts.erase(id);
     }
-    void note(const ServerSums& r) { paces[r.server].note(r, in.now, kPaceHalfLifeS, failedTime(in)); }
+    void note(const ServerStats& r) { paces[r.server].note(r, in.now, kPaceHalfLifeS, failedTime(in)); }
     void shift() {
         if (in.now < nextShift) return;
         nextShift = in.now + kShiftEvery;
--- a/tests/emulator/live_test.cpp
+++ b/tests/emulator/live_test.cpp
@@ -39,7 +39,7 @@
         standin::liveConfig(s, start, known, {"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}, kBase));
     const Settings want = configOf(s, 1, 3).settings;
     const Settings& got = config.settings;
-    EXPECT_EQ(got.me, want.me);
+    EXPECT_EQ(got.plannerIndex, want.plannerIndex);
     EXPECT_EQ(got.planners, want.planners);
     EXPECT_EQ(got.seed, want.seed);
     EXPECT_EQ(got.zones, want.zones);
@@ -59,11 +59,11 @@
     EXPECT_EQ(got.tipMultiple, want.tipMultiple);
     EXPECT_EQ(got.fallWithin, want.fallWithin);
     EXPECT_EQ(got.warmUp, want.warmUp);
-    EXPECT_EQ(got.perTryAims, want.perTryAims);
+    EXPECT_EQ(got.tryTimeoutFactor, want.tryTimeoutFactor);
     EXPECT_EQ(got.loadFields, want.loadFields);
     ASSERT_EQ(got.classes.size(), want.classes.size());
     for (std::size_t k = 0; k < want.classes.size(); ++k) {
-        EXPECT_EQ(got.classes[k].aim, want.classes[k].aim);
+        EXPECT_EQ(got.classes[k].latencyTarget, want.classes[k].latencyTarget);
         EXPECT_EQ(got.classes[k].giveUp, want.classes[k].giveUp);
         EXPECT_EQ(got.classes[k].worth, want.classes[k].worth);
         EXPECT_EQ(got.classes[k].lateWorth, want.classes[k].lateWorth);
--- a/tests/gateway/full_comparison_distributor.h
+++ b/tests/gateway/full_comparison_distributor.h
@@ -20,9 +20,9 @@
     void leave(ProxyId proxy) {
         joining_.erase(proxy);
         sent_.erase(proxy);
-        if (tables_.seats.count(proxy) != 0) tables_.leave(proxy);
+        if (tables_.proxyStates.count(proxy) != 0) tables_.leave(proxy);
     }
-    void answered(ProxyId proxy, std::uint64_t mark) { tables_.answer(proxy, mark); }
+    void answered(ProxyId proxy, std::uint64_t mark) { tables_.acknowledge(proxy, mark); }
 
     struct Batch {
         std::uint64_t mark = 0;
@@ -35,7 +35,7 @@
         ++tables_.turn;
         std::map<std::string, std::set<ProxyId>> fresh;
         for (const auto& [proxy, zone] : joining_) {
-            tables_.seats[proxy];
+            tables_.proxyStates[proxy];
             fresh[zone].insert(proxy);
         }
         for (const auto& [zone, proxies] : fresh) tables_.bindFresh(proxies, zone, false);
@@ -55,14 +55,14 @@
         FullComparisonDistributor& book;
         const std::map<std::string, Wanted>& wanted(const std::string& /*zone*/) const { return book.wanted; }
         static Hash hash(const Wanted& line) { return line.hash; }
-        static double worth(const std::string& /*zone*/, const std::string& key, const Wanted* now,
-                            Hash /*held*/) {
+        static double priority(const std::string& /*zone*/, const std::string& key, const Wanted* now,
+                               Hash /*held*/) {
             const bool urgent = now != nullptr ? now->urgent : key[0] == 'v' || key[0] == 'z';
-            if (urgent) return policy::kUrgentWorth;
+            if (urgent) return policy::kUrgentPriority;
             return key[0] == 'v' ? 0 : 1;
         }
         static std::size_t slot(const std::string& /*zone*/) { return 0; }
-        static double fits(std::size_t /*proxies*/, bool /*urgent*/) { return 1e9; }
+        static double lineBudget(std::size_t /*proxies*/, bool /*urgent*/) { return 1e9; }
         static bool mayWrite(const std::set<ProxyId>& /*proxies*/, double /*lines*/, bool /*urgent*/) {
             return true;
         }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -21,8 +21,8 @@
 
 class ArbiterTest : public testing::Test {
 protected:
-    std::optional<ServerSums> say(SourceId source, std::uint32_t tries = 100, Micros over = 2 * kSecond) {
-        return arbiter.admit(source, ServerSums{7, 1, tries, tries / 10, over, 40 * kMs, {}}, now);
+    std::optional<ServerStats> say(SourceId source, std::uint32_t tries = 100, Micros over = 2 * kSecond) {
+        return arbiter.admit(source, ServerStats{7, 1, tries, tries / 10, over, 40 * kMs, {}}, now);
     }
     SourceArbiter arbiter{ArbiterRules{}};
     Micros now = 1000 * kSecond;
@@ -87,7 +87,7 @@
     for (int i = 0; i < 500; ++i) {
         const Micros sent = now + i * 2 * kSecond;
         const Micros late = static_cast<Micros>(random() % 1300) * kMs;
-        const auto row = arbiter.admit(kGrpc, ServerSums{1, 1, 10, 0, 2 * kSecond, kMs, {}}, sent + late);
+        const auto row = arbiter.admit(kGrpc, ServerStats{1, 1, 10, 0, 2 * kSecond, kMs, {}}, sent + late);
         ASSERT_TRUE(row);
         ASSERT_EQ(row->tries, 10U) << i;
     }
@@ -133,7 +133,7 @@
 
 TEST_F(ArbiterTest, WhatIsNotNamedAnyMoreIsForgotten) {
     for (ServerId id = 0; id < 100; ++id) {
-        (void)arbiter.admit(id, ServerSums{id, 0, 1, 0, kSecond, kMs, {}}, now);
+        (void)arbiter.admit(id, ServerStats{id, 0, 1, 0, kSecond, kMs, {}}, now);
     }
     EXPECT_EQ(arbiter.rows(), 100U);
     arbiter.sweep(now + 301 * kSecond);
@@ -186,7 +186,7 @@
             const Micros claimed = i != keeper && random() % 5 == 0 ? 3 * s.span : s.span;
             const auto tries = static_cast<std::uint32_t>(claimed / kMs);
             const auto row =
-                arbiter.admit(static_cast<SourceId>(i), ServerSums{1, 0, tries, 0, claimed, kMs, {}}, now);
+                arbiter.admit(static_cast<SourceId>(i), ServerStats{1, 0, tries, 0, claimed, kMs, {}}, now);
             if (!row) continue;
             told += row->tries;
             // The gap is only promised while a sound source speaks.
--- a/tests/plugins/core_test.cpp
+++ b/tests/plugins/core_test.cpp
@@ -546,7 +546,7 @@
     for (const char* name : {"lookup", "cutout"}) {
         ClassSettings k;
         k.name = name;
-        k.aim = 500000;
+        k.latencyTarget = 500000;
         k.giveUp = 2 * kSecond;
         out.classes.push_back(k);
     }
@@ -576,7 +576,7 @@
 TEST(Ceilings, LowerTheLevelsOfTheirZoneAndGoWhenTheyAreTakenBack) {
     Planner planner(smallSettings(Admission::share));
     Levels levels;
-    ListNews list{1, ListNewsKind::full, {}};
+    ServerListUpdate list{1, ServerListUpdateKind::full, {}};
     for (ServerId s = 0; s < 8; ++s)
         list.entries.push_back({s, 0, 0, 0, static_cast<ZoneId>(s % 2), 1, ServerState::ready});
     levels.take(planner.turn(0, {list, ProxyJoined{0, 0, 10, false}, ProxyJoined{1, 1, 10, false}}));
--- a/tests/policy/distribution_test.cpp
+++ b/tests/policy/distribution_test.cpp
@@ -26,12 +26,12 @@
 
     const Lines& wanted(const std::string& zone) { return says[zone]; }
     static Hash hash(const std::string& text) { return std::hash<std::string>{}(text) | 1U; }
-    double worth(const std::string&, const std::string& key, const std::string* now, Hash) const {
-        if (urgent.count(key)) return kUrgentWorth;
+    double priority(const std::string&, const std::string& key, const std::string* now, Hash) const {
+        if (urgent.count(key)) return kUrgentPriority;
         return now != nullptr ? static_cast<double>(now->size()) : 0;
     }
     static std::size_t slot(const std::string&) { return 0; }
-    double fits(std::size_t, bool) const { return room; }
+    double lineBudget(std::size_t, bool) const { return room; }
     static bool mayWrite(const std::set<Id>&, double, bool) { return true; }
     static bool mayCopy(const std::set<Id>&) { return true; }
     void line(TableId id, const std::string& key, const std::string* now) {
@@ -47,14 +47,14 @@
 class DistributionTest : public ::testing::Test {
 protected:
     void join(const std::set<Id>& ids, const std::string& zone = "east") {
-        for (const Id id : ids) lines.seats[id];
+        for (const Id id : ids) lines.proxyStates[id];
         lines.bindFresh(ids, zone, false);
     }
     // A turn; then these answer its mark.
     std::vector<std::string> turn(const std::set<Id>& answering = {}, Micros later = kSecond / 10) {
         lines.now += later;
         lines.run();
-        for (const Id id : answering) lines.answer(id, lines.turn);
+        for (const Id id : answering) lines.acknowledge(id, lines.turn);
         ++lines.turn;
         return std::exchange(post.sent, {});
     }
@@ -100,7 +100,7 @@
     EXPECT_EQ(turn(), Sent{});
     east()["a"] = "4";
     EXPECT_EQ(turn(), Sent{});
-    EXPECT_TRUE(lines.answer(2, lines.turn - 3).over);
+    EXPECT_TRUE(lines.acknowledge(2, lines.turn - 3).over);
     EXPECT_EQ(turn(), (Sent{"a=4", "b=3"}));
 }
 
@@ -111,7 +111,7 @@
     east()["b"] = "2";
     turn();
     east()["b"] = "1";
-    lines.answer(2, lines.turn - 2);
+    lines.acknowledge(2, lines.turn - 2);
     EXPECT_EQ(turn(), Sent{});
 }
 
@@ -129,19 +129,19 @@
 
 TEST_F(DistributionTest, AnswersStandForEarlierMarksAndStrangeOnesForNone) {
     settle();
-    EXPECT_FALSE(lines.answer(1, 999).turn);
-    EXPECT_FALSE(lines.answer(77, 0).turn);
+    EXPECT_FALSE(lines.acknowledge(1, 999).turn);
+    EXPECT_FALSE(lines.acknowledge(77, 0).turn);
     lines.turn = 0x10003;
     east()["a"] = "2";
     turn();
     post.urgent = {"b"};
     east()["b"] = "2";
     turn();
-    EXPECT_FALSE(lines.answer(1, 0x4).turn);  // no whole mark
-    EXPECT_EQ(lines.answer(1, 0x4, 0xffff).turn, 0x10004U);
-    EXPECT_FALSE(lines.answer(1, 0x3, 0xffff).turn) << "the mark before was answered with it";
-    EXPECT_FALSE(lines.answer(2, 0x3, 0xffff).over) << "a later mark is still open";
-    EXPECT_TRUE(lines.answer(2, 0x4, 0xffff).over);
+    EXPECT_FALSE(lines.acknowledge(1, 0x4).turn);  // no whole mark
+    EXPECT_EQ(lines.acknowledge(1, 0x4, 0xffff).turn, 0x10004U);
+    EXPECT_FALSE(lines.acknowledge(1, 0x3, 0xffff).turn) << "the mark before was answered with it";
+    EXPECT_FALSE(lines.acknowledge(2, 0x3, 0xffff).over) << "a later mark is still open";
+    EXPECT_TRUE(lines.acknowledge(2, 0x4, 0xffff).over);
 }
 
 TEST_F(DistributionTest, TheTimeoutReleasesTheWaitAndTheSilentGetACopy) {
@@ -165,7 +165,7 @@
     EXPECT_EQ(held(3), east());
     turn({}, kFold);
     EXPECT_NE(post.bound.at(3), home) << "folded before it was answered";
-    lines.answer(3, lines.turn - 1);
+    lines.acknowledge(3, lines.turn - 1);
     turn({3});
     EXPECT_EQ(post.bound.at(3), home);
     turn();
@@ -252,7 +252,7 @@
         }
         std::map<TableId, Lines> waiting;
         for (const auto& [table, t] : lines.tables) {
-            if (!t.unanswered.empty()) waiting[table] = post.tables[table];
+            if (!t.unacknowledged.empty()) waiting[table] = post.tables[table];
         }
         std::set<Id> answering;
         for (const Id p : there) {
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -10,7 +10,7 @@
 void reweigh(Rig& rig, double weight) {
     ListEntry entry = server(2, 0);
     entry.weight = weight;
-    rig.list({entry}, ListNewsKind::delta);
+    rig.list({entry}, ServerListUpdateKind::delta);
     rig.run(400 * kMs);
 }
 
@@ -112,9 +112,9 @@
 TEST(Push, AnAnswerOfADepartedProxyChangesNothing) {
     Rig rig = settledRig();
     rig.leave(0);
-    const auto actions = rig.turn({Acknowledged{0, 1, kSecond}, Acknowledged{99, 1, kSecond},
-                                   ServerSums{77, 0, 5, 5, kSecond, 0, {}}, ProxyDemand{99, 0, 5, 0, kSecond},
-                                   ProbeResult{77, ProbeOutcome::ok, 1, {}}, TimerDue{12345}});
+    const auto actions = rig.turn(
+        {Acknowledged{0, 1, kSecond}, Acknowledged{99, 1, kSecond}, ServerStats{77, 0, 5, 5, kSecond, 0, {}},
+         ProxyDemand{99, 0, 5, 0, kSecond}, ProbeResult{77, ProbeOutcome::ok, 1, {}}, TimerDue{12345}});
     EXPECT_EQ(rig.count<SetLine>() + rig.count<Bind>() + rig.count<Withdraw>(), 0);
     rig.run(kSecond);
     EXPECT_GT(rig.weight(1, 1), 0);
@@ -133,7 +133,7 @@
     for (int i = 0; i < 100;
          ++i) {  // a list that never rests: one server drains and comes back, over and over
         rig.now += 100 * kMs;
-        rig.list({server(5, 1, i % 2 == 0 ? draining : ready)}, ListNewsKind::delta);
+        rig.list({server(5, 1, i % 2 == 0 ? draining : ready)}, ServerListUpdateKind::delta);
     }
     EXPECT_GT(rig.messages[0], 1);
     EXPECT_LE(rig.messages[0], 6);
@@ -159,7 +159,7 @@
         rig.now += 300 * kMs;
         ListEntry e = server(2, 0, ready, rig.now);
         e.weight = 1 + i % 7;
-        rig.list({e}, ListNewsKind::delta);
+        rig.list({e}, ServerListUpdateKind::delta);
         if (rig.count<Mark>() == 0) continue;
         ++rounds;
         lines += 2 * rig.count<SetLine>() + 7 * rig.count<Bind>();
@@ -174,7 +174,7 @@
     Rig rig = settledRig();
     rig.silent = {0, 1, 2, 3};
     reweigh(rig, 2);
-    rig.list({server(1, 0, draining)}, ListNewsKind::delta);
+    rig.list({server(1, 0, draining)}, ServerListUpdateKind::delta);
     rig.run(300 * kMs);
     EXPECT_TRUE(rig.withdrawn[1]);
 }
@@ -186,7 +186,7 @@
     EXPECT_TRUE(rig.withdrawn[2]);
     rig.run(2 * kSecond);
     EXPECT_FLOAT_EQ(rig.weight(0, 2), 0);
-    rig.list({server(2, 0)}, ListNewsKind::delta);
+    rig.list({server(2, 0)}, ServerListUpdateKind::delta);
     rig.run(2 * kSecond);
     EXPECT_FALSE(rig.withdrawn[2]);
     EXPECT_GT(rig.weight(0, 2), 0);
@@ -195,7 +195,7 @@
 TEST(Withdrawals, AZoneWithoutAWarmServerRebindsToAnother) {
     Rig rig = settledRig();
     const TableId before = rig.tableOf(0);
-    rig.list({server(1, 0, gone), server(2, 0, gone)}, ListNewsKind::delta);
+    rig.list({server(1, 0, gone), server(2, 0, gone)}, ServerListUpdateKind::delta);
     rig.run(kSecond);
     EXPECT_NE(rig.tableOf(0), before);
     EXPECT_EQ(rig.tableOf(0), rig.tableOf(2));
@@ -204,7 +204,7 @@
 
 TEST(Withdrawals, TheLastReadyServerKeepsItsLine) {
     Rig rig = settledRig();
-    rig.list({server(1, 0, gone), server(2, 0, gone), server(3, 1, gone)}, ListNewsKind::delta);
+    rig.list({server(1, 0, gone), server(2, 0, gone), server(3, 1, gone)}, ServerListUpdateKind::delta);
     rig.run(3 * kSecond);
     rig.sums({4}, 20, 20, 0);
     rig.run(3 * kSecond);
@@ -217,7 +217,7 @@
     Rig rig = settledRig();
     rig.sums({1, 2, 3, 4}, 10, 0, 150 * kMs);
     const float full = rig.weight(0, 2);
-    rig.list({server(2, 0, ready, rig.now)}, ListNewsKind::delta);
+    rig.list({server(2, 0, ready, rig.now)}, ServerListUpdateKind::delta);
     rig.run(400 * kMs);
     float weight = rig.weight(0, 2);
     EXPECT_GT(weight, 0);
@@ -236,7 +236,7 @@
 TEST(SlowStart, ARestartedServerIsNotHeldToWhatItsFormerProcessDid) {
     Rig rig = rigWithServer2Failing();
     ASSERT_FLOAT_EQ(rig.weight(0, 2), 0);
-    rig.list({server(2, 0, ready, rig.now)}, ListNewsKind::delta);
+    rig.list({server(2, 0, ready, rig.now)}, ServerListUpdateKind::delta);
     rig.run(600 * kMs);
     EXPECT_GT(rig.weight(0, 2), 0.15F * rig.weight(0, 1));
 }
@@ -246,7 +246,7 @@
     Rig rig = settledRig();
     rig.sums({1, 2, 3, 4}, 20, 18, kSecond);
     rig.run(300 * kMs);
-    rig.list({server(2, 0, ready, rig.now)}, ListNewsKind::delta);
+    rig.list({server(2, 0, ready, rig.now)}, ServerListUpdateKind::delta);
     rig.run(600 * kMs);
     EXPECT_FLOAT_EQ(rig.weight(0, 2), 0);
     EXPECT_GT(rig.weight(0, 1), 0);
@@ -271,11 +271,11 @@
 TEST(SlowStart, AColdServerShrinksWithTheWarmWeight) {
     Rig rig = settledRig();
     rig.sums({1, 2, 3, 4}, 10, 0, 150 * kMs);
-    rig.list({server(2, 0, ready, rig.now)}, ListNewsKind::delta);
+    rig.list({server(2, 0, ready, rig.now)}, ServerListUpdateKind::delta);
     rig.run(400 * kMs);
     const float calm = rig.weight(2, 2);
     ASSERT_GT(calm, 0);
-    rig.list({server(3, 1, gone), server(4, 1, gone)}, ListNewsKind::delta);
+    rig.list({server(3, 1, gone), server(4, 1, gone)}, ServerListUpdateKind::delta);
     rig.run(600 * kMs);
     rig.sums({1}, 10, 0, 150 * kMs);
     rig.run(600 * kMs);
@@ -318,7 +318,7 @@
             for (ZoneId z = 0; z < 2; ++z) {
                 const bool across = (s <= 2) != (z == 0);
                 events.push_back(
-                    ServerSums{s, z, 10, across ? 10U : 0U, kSecond, across ? 0 : 150 * kMs, {}});
+                    ServerStats{s, z, 10, across ? 10U : 0U, kSecond, across ? 0 : 150 * kMs, {}});
             }
         }
         rig.turn(events);
@@ -410,11 +410,11 @@
 TEST(Withdrawals, AServerThatHasGoneAndComesBackIsLetBack) {
     Rig rig = settledRig();
     ListEntry gone = server(2, 0, ServerState::gone);
-    rig.list({gone}, ListNewsKind::delta);
+    rig.list({gone}, ServerListUpdateKind::delta);
     rig.run(5 * kSecond);
     EXPECT_TRUE(rig.withdrawn.at(2));
     EXPECT_EQ(rig.weight(0, 2), 0);
-    rig.list({server(2, 0)}, ListNewsKind::delta);
+    rig.list({server(2, 0)}, ServerListUpdateKind::delta);
     rig.run(5 * kSecond);
     EXPECT_FALSE(rig.withdrawn.at(2));
     EXPECT_GT(rig.weight(0, 2), 0);
@@ -552,7 +552,7 @@
     Rig rig(std::move(s));
     rig.list({server(1, 0), server(2, 0)});
     rig.join(0, 0);
-    rig.turn({SliceGiven{3, true}, SliceLine{3, 1, 1}});
+    rig.turn({SliceAssignment{3, true}, SliceLine{3, 1, 1}});
     return rig;
 }
 
@@ -563,7 +563,7 @@
     s.settle = kSecond;
     Rig rig = sliceRig(s);
     rig.run(4 * kSecond);
-    rig.list({server(1, 0, gone)}, ListNewsKind::delta);
+    rig.list({server(1, 0, gone)}, ServerListUpdateKind::delta);
     rig.run(kSecond);
     EXPECT_TRUE(rig.withdrawn[1]);
     rig.run(1500 * kMs);
@@ -575,8 +575,8 @@
 
 TEST(Slices, WhatIsTakenAwayIsOrderedNoMore) {
     Rig rig = sliceRig(calmSettings());
-    rig.turn({SliceGiven{3, false}});
-    rig.list({server(1, 0, gone)}, ListNewsKind::delta);
+    rig.turn({SliceAssignment{3, false}});
+    rig.list({server(1, 0, gone)}, ServerListUpdateKind::delta);
     rig.run(2 * kSecond);
     EXPECT_TRUE(rig.tables[3].empty());
 }
@@ -584,7 +584,7 @@
 TEST(Slices, WithoutOneOwnerASliceMovesAtOnce) {
     Rig rig = sliceRig(calmSettings());
     rig.run(kSecond);
-    rig.list({server(1, 0, draining)}, ListNewsKind::delta);
+    rig.list({server(1, 0, draining)}, ServerListUpdateKind::delta);
     rig.run(600 * kMs);
     EXPECT_TRUE(rig.tables[3].count(2));
 }
@@ -604,7 +604,7 @@
     rig.list({server(1, 0, draining)});
     rig.join(0, 0);
     EXPECT_TRUE(rig.bound.empty());
-    rig.list({server(1, 0)}, ListNewsKind::delta);
+    rig.list({server(1, 0)}, ServerListUpdateKind::delta);
     EXPECT_GT(rig.weight(0, 1), 0);
 }
 
@@ -635,7 +635,7 @@
     Rig rig(s);
     rig.turn();
     EXPECT_EQ(rig.count<Subscribe>(), 1);
-    rig.turn({ListNews{0, ListNewsKind::failed, {}}});
+    rig.turn({ServerListUpdate{0, ServerListUpdateKind::failed, {}}});
     EXPECT_EQ(rig.count<Subscribe>(), 1);
 }
 
--- a/tests/policy/scale_test.cpp
+++ b/tests/policy/scale_test.cpp
@@ -129,7 +129,7 @@
     Rig rig = boundRig();
     std::vector<Event> sums;
     for (const ListEntry& e : bigList()) {
-        sums.push_back(ServerSums{e.server, e.zone, 8, e.server == 7 ? 8U : 0U, kSecond, 150 * kMs, {}});
+        sums.push_back(ServerStats{e.server, e.zone, 8, e.server == 7 ? 8U : 0U, kSecond, 150 * kMs, {}});
     }
     rig.turn(sums);
     rig.run(2 * kSecond);
@@ -145,7 +145,7 @@
     std::vector<Event> sums;
     for (const ListEntry& e : bigList()) {
         const std::uint32_t failed = e.server % 50 == 0 ? 5 : 2;  // of five
-        sums.push_back(ServerSums{e.server, e.zone, 5, failed, kSecond, 150 * kMs, {}});
+        sums.push_back(ServerStats{e.server, e.zone, 5, failed, kSecond, 150 * kMs, {}});
     }
     rig.turn(sums);
     rig.run(kSecond);
@@ -160,7 +160,7 @@
         std::vector<Event> sums;
         for (const ListEntry& e : bigList()) {
             sums.push_back(
-                ServerSums{e.server, e.zone, 4, 0, kSecond, e.zone == 0 ? 500 * kMs : 120 * kMs, {}});
+                ServerStats{e.server, e.zone, 4, 0, kSecond, e.zone == 0 ? 500 * kMs : 120 * kMs, {}});
         }
         rig.turn(sums);
         rig.run(kSecond);
@@ -197,7 +197,7 @@
     rig.run(10 * kSecond);
     ASSERT_EQ(boundCount(rig), 4U);
     for (ListEntry& e : list) e.weight = 3;
-    rig.list(list, ListNewsKind::delta);
+    rig.list(list, ServerListUpdateKind::delta);
     int lines = 0, possible = 0;
     for (ProxyId p = 0; p < 4; ++p) {
         lines += static_cast<int>(std::count_if(rig.last.begin(), rig.last.end(), [&](const Action& a) {
@@ -217,7 +217,7 @@
     Rig rig = boundRig();
     rig.run(2 * kSecond);
     const auto before = rig.messages;
-    rig.list(bigList(draining, 0, kServers / 3), ListNewsKind::delta);
+    rig.list(bigList(draining, 0, kServers / 3), ServerListUpdateKind::delta);
     rig.run(kSecond);
     for (ServerId id = 0; id < kServers / 3; ++id) EXPECT_TRUE(rig.withdrawn[id]);
     for (const auto& [p, count] : rig.messages) EXPECT_LE(count - before.at(p), 2);
@@ -229,7 +229,7 @@
     for (int i = 0; i < 33; ++i) {
         const int at = i * 9 % kServers;
         rig.list(bigList(i % 2 == 0 ? gone : ready, at, std::min(at + 9, kServers), rig.now),
-                 ListNewsKind::delta);
+                 ServerListUpdateKind::delta);
         rig.run(300 * kMs);
     }
     for (const auto& [p, count] : rig.messages) EXPECT_LE(count - before.at(p), 12);
@@ -239,7 +239,7 @@
 // crashed.
 TEST(Scale, AZoneLeftWithOneServerGoesOn) {
     Rig rig = boundRig();
-    rig.list(bigList(draining, 2, kServers), ListNewsKind::delta);
+    rig.list(bigList(draining, 2, kServers), ServerListUpdateKind::delta);
     std::vector<Event> demand;
     for (ProxyId p = 0; p < kProxies; ++p) demand.push_back(ProxyDemand{p, 0, 50, 0, kSecond});
     for (int i = 0; i < 10; ++i) {
@@ -255,10 +255,10 @@
     rig.list(bigList(ready, 0, kServers / 4));
     rig.turn(bigJoin());
     rig.run(8 * kSecond);
-    rig.list(bigList(ready, kServers / 4, kServers, rig.now), ListNewsKind::delta);
+    rig.list(bigList(ready, kServers / 4, kServers, rig.now), ServerListUpdateKind::delta);
     std::vector<Event> sums;
     for (const ListEntry& e : bigList(ready, 0, kServers / 4)) {
-        sums.push_back(ServerSums{e.server, e.zone, 10, 0, kSecond, 150 * kMs, {}});
+        sums.push_back(ServerStats{e.server, e.zone, 10, 0, kSecond, 150 * kMs, {}});
     }
     for (int i = 0; i < 20; ++i) {
         rig.turn(sums);
@@ -280,7 +280,7 @@
     rig.turn(bigJoin(36));
     rig.run(3 * kSecond);
     ASSERT_GT(rig.weight(0, 1), 0) << "the other zone's lines";
-    rig.list(bigList(ready, 30, 90, rig.now), ListNewsKind::delta);
+    rig.list(bigList(ready, 30, 90, rig.now), ServerListUpdateKind::delta);
     rig.run(2 * kSecond);
     EXPECT_GT(rig.weight(0, 1), 0);
 }
@@ -298,7 +298,7 @@
             std::vector<Event> events;
             for (const ListEntry& e : bigList()) {
                 if (static_cast<int>(e.server) % 20 != round % 20) continue;
-                events.push_back(ServerSums{e.server, e.zone, 20, 0, 4 * kSecond, 700 * kMs, {}});
+                events.push_back(ServerStats{e.server, e.zone, 20, 0, 4 * kSecond, 700 * kMs, {}});
             }
             for (ProxyId p = 0; p < kProxies; ++p) events.push_back(ProxyDemand{p, 0, 4, 0, 200 * kMs});
             rig.turn(events);
@@ -317,8 +317,8 @@
 
 TEST(Scale, SeveralPlannersWithTheSameEventsActTheSame) {
     Rig a = boundRig(), b = boundRig();
-    a.list(bigList(gone, 10, 60), ListNewsKind::delta);
-    b.list(bigList(gone, 10, 60), ListNewsKind::delta);
+    a.list(bigList(gone, 10, 60), ServerListUpdateKind::delta);
+    b.list(bigList(gone, 10, 60), ServerListUpdateKind::delta);
     a.run(3 * kSecond);
     b.run(3 * kSecond);
     EXPECT_EQ(a.tables, b.tables);
--- a/tests/routing/churn_test.cpp
+++ b/tests/routing/churn_test.cpp
@@ -44,7 +44,7 @@
 public:
     LongDay() : planner_(tests::smallConfig().settings) {
         for (ServerId id = 0; id < kServers; ++id) list_.push_back(entry(id));
-        turn({ListNews{1, ListNewsKind::full, list_}});
+        turn({ServerListUpdate{1, ServerListUpdateKind::full, list_}});
         for (ProxyId p = 0; p < kProxies; ++p) turn({ProxyJoined{p, static_cast<ZoneId>(p % 2), 5, true}});
     }
     void generation() {
@@ -56,13 +56,13 @@
             list_.push_back(entry(next_));
             changed.push_back(list_.back());
         }
-        turn({ListNews{++version_, ListNewsKind::delta, changed}});
+        turn({ServerListUpdate{++version_, ServerListUpdateKind::delta, changed}});
         const auto back = static_cast<ProxyId>(version_ % kProxies);
         turn({ProxyLeft{back}});
         turn({ProxyJoined{back, static_cast<ZoneId>(back % 2), 5, true}});
         std::vector<Event> sums;
         for (const ListEntry& e : list_)
-            sums.push_back(ServerSums{e.server, 0, 10, 1, kSecond, 150 * kMs, {}});
+            sums.push_back(ServerStats{e.server, 0, 10, 1, kSecond, 150 * kMs, {}});
         for (ProxyId p = 0; p < kProxies; ++p) sums.push_back(ProxyDemand{p, 0, 5, 0, kSecond});
         turn(sums);
         for (int i = 0; i < 5; ++i) turn({});
--- a/tests/routing/junction_test.cpp
+++ b/tests/routing/junction_test.cpp
@@ -155,7 +155,7 @@
     [[nodiscard]] std::size_t sums() const {
         std::size_t out = 0;
         for (const auto& turn : told) {
-            for (const Event& e : turn) out += std::holds_alternative<ServerSums>(e);
+            for (const Event& e : turn) out += std::holds_alternative<ServerStats>(e);
         }
         return out;
     }
@@ -319,7 +319,7 @@
     Micros last = 0, longest = 0;
     const auto note = [&] {
         for (const Event& e : rig.told.back()) {
-            if (!std::holds_alternative<ServerSums>(e)) continue;
+            if (!std::holds_alternative<ServerStats>(e)) continue;
             if (last != 0) longest = std::max(longest, rig.now - last);
             last = rig.now;
         }
@@ -343,7 +343,7 @@
         rig.step(2 * kSecond);
     }
     EXPECT_EQ(rig.sums(), 5U);
-    const auto& sum = std::get<ServerSums>(rig.told.back().front());
+    const auto& sum = std::get<ServerStats>(rig.told.back().front());
     EXPECT_EQ(sum.load, (LoadReport{0.75F, 0.0F})) << "by the names of the settings: util, inflight";
 }
 
@@ -406,19 +406,19 @@
 
 TEST(Junctions, EventsOfOneMomentAreOneOrderWhicheverFrontWasFaster) {
     std::vector<Event> events = {ProxyDemand{3, 1, 1, 0, 1},
-                                 ServerSums{2, 1, 1, 0, 1, 1, {}},
+                                 ServerStats{2, 1, 1, 0, 1, 1, {}},
                                  ProxyLeft{4},
-                                 ServerSums{9, 0, 1, 0, 1, 1, {}},
-                                 ListNews{},
+                                 ServerStats{9, 0, 1, 0, 1, 1, {}},
+                                 ServerListUpdate{},
                                  ProxyJoined{4, 0, 1, true},
                                  Acknowledged{1, 5, 0}};
     Junction::arrange(events);
-    EXPECT_TRUE(std::holds_alternative<ListNews>(events[0]));
+    EXPECT_TRUE(std::holds_alternative<ServerListUpdate>(events[0]));
     EXPECT_TRUE(std::holds_alternative<Acknowledged>(events[1]));
     EXPECT_TRUE(std::holds_alternative<ProxyLeft>(events[2])) << "one proxy's news stay in their order";
     EXPECT_TRUE(std::holds_alternative<ProxyJoined>(events[3]));
-    EXPECT_EQ(std::get<ServerSums>(events[4]).fromZone, 0);
-    EXPECT_EQ(std::get<ServerSums>(events[5]).fromZone, 1);
+    EXPECT_EQ(std::get<ServerStats>(events[4]).fromZone, 0);
+    EXPECT_EQ(std::get<ServerStats>(events[5]).fromZone, 1);
     EXPECT_TRUE(std::holds_alternative<ProxyDemand>(events[6]));
 }
 
--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -67,20 +67,20 @@
 };
 
 TEST_F(TranslatorTest, ListsKeepTheirKindAndServersTheirNumber) {
-    const auto cached = only<ListNews>(ListInput{{41, true, {server("s1"), server("s2")}, 0}, true});
-    EXPECT_EQ(cached.kind, ListNewsKind::cached);
+    const auto cached = only<ServerListUpdate>(ListInput{{41, true, {server("s1"), server("s2")}, 0}, true});
+    EXPECT_EQ(cached.kind, ServerListUpdateKind::cached);
     ASSERT_EQ(cached.entries.size(), 2U);
     EXPECT_EQ(cached.entries[0].zone, 1);
     EXPECT_EQ(cached.entries[0].kind, 1);
     EXPECT_EQ(cached.entries[0].cell, 3);
     EXPECT_EQ(cached.entries[0].weight, 1.5);
     EXPECT_EQ(cached.entries[0].bootTime, 1700000000123000);
-    const auto delta = only<ListNews>(list(43, false, {server("s2", ServerState::draining)}));
-    EXPECT_EQ(delta.kind, ListNewsKind::delta);
+    const auto delta = only<ServerListUpdate>(list(43, false, {server("s2", ServerState::draining)}));
+    EXPECT_EQ(delta.kind, ServerListUpdateKind::delta);
     EXPECT_EQ(delta.version, 43U);
     EXPECT_EQ(delta.entries[0].server, cached.entries[1].server);
     EXPECT_EQ(delta.entries[0].state, ServerState::draining);
-    EXPECT_EQ(only<ListNews>(list(44, true, {server("s2")})).kind, ListNewsKind::full);
+    EXPECT_EQ(only<ServerListUpdate>(list(44, true, {server("s2")})).kind, ServerListUpdateKind::full);
 }
 
 TEST_F(TranslatorTest, ListsThatGoBackwardsAreRefused) {
@@ -94,14 +94,15 @@
 TEST_F(TranslatorTest, EntriesOfUnknownZonesAreLeftOutAndUnknownKindsAreNot) {
     auto odd = server("s2");
     odd.kind = "never heard of";
-    const auto news = only<ListNews>(list(5, true, {server("s1", ServerState::ready, "nowhere"), odd}));
+    const auto news =
+        only<ServerListUpdate>(list(5, true, {server("s1", ServerState::ready, "nowhere"), odd}));
     ASSERT_EQ(news.entries.size(), 1U);
     EXPECT_FALSE(order(SetLine{1, 1, 1.0F}).has_value());
 }
 
 TEST_F(TranslatorTest, GoneServersThatWereNeverListedAreNoNews) {
     know({"s1"});
-    const auto news = only<ListNews>(list(
+    const auto news = only<ServerListUpdate>(list(
         5, false,
         {{"s1", "", "", "", 0, ServerState::gone, 0, 0}, {"s9", "", "", "", 0, ServerState::gone, 0, 0}}));
     ASSERT_EQ(news.entries.size(), 1U);
@@ -125,7 +126,7 @@
 
 TEST_F(TranslatorTest, OutcomesBecomeSumsWithTheLoadInTheSettingsOrder) {
     know({"s1"});
-    const auto sums = only<ServerSums>(
+    const auto sums = only<ServerStats>(
         protocol::Report{protocol::Outcomes{"b", "s1", 212, 3, 41700, 1000000, {{"inflight", 7}, {"x", 9}}}});
     EXPECT_EQ(sums.server, 0U);
     EXPECT_EQ(sums.fromZone, 1);
@@ -134,7 +135,7 @@
     EXPECT_EQ(sums.meanTime, 41700);
     EXPECT_EQ(sums.period, 1000000);
     EXPECT_EQ(sums.load, (LoadReport{0.0F, 7.0F}));  // util is absent
-    const auto bare = only<ServerSums>(protocol::Report{protocol::Outcomes{"b", "s1", 1, 0, 1, 1, {}}});
+    const auto bare = only<ServerStats>(protocol::Report{protocol::Outcomes{"b", "s1", 1, 0, 1, 1, {}}});
     EXPECT_TRUE(bare.load.empty());
 }
 
@@ -155,7 +156,7 @@
 TEST_F(TranslatorTest, MeanThatNoTryCanHaveIsLeftOut) {
     know({"s1"});
     EXPECT_TRUE(events(protocol::Report{protocol::Outcomes{"b", "s1", 1, 0, 50000000, 1000000, {}}}).empty());
-    EXPECT_EQ(only<ServerSums>(protocol::Report{protocol::Outcomes{"b", "s1", 1, 0, 2000000, 1, {}}}).tries,
+    EXPECT_EQ(only<ServerStats>(protocol::Report{protocol::Outcomes{"b", "s1", 1, 0, 2000000, 1, {}}}).tries,
               1U);
 }
 
@@ -166,7 +167,7 @@
     for (int generation = 0; generation < 2000; ++generation) {
         const std::string uid = "s" + std::to_string(generation),
                           before = "s" + std::to_string(generation - 1);
-        const auto news = only<ListNews>(list(++rev, generation % 50 == 0, {server(uid)}));
+        const auto news = only<ServerListUpdate>(list(++rev, generation % 50 == 0, {server(uid)}));
         EXPECT_GE(news.entries[0].server, last);
         last = news.entries[0].server;
         if (generation > 0) (void)events(list(++rev, false, {server(before, ServerState::gone)}));
@@ -176,7 +177,7 @@
     EXPECT_EQ(translator.endpoint(last), "127.0.0.9:5000");
     EXPECT_FALSE(order(SetLine{1, 0, 1}).has_value()) << "forgotten";
     // One that has gone only lately comes back under its number.
-    EXPECT_EQ(only<ListNews>(list(++rev, false, {server("s1990")})).entries[0].server, 1990U);
+    EXPECT_EQ(only<ServerListUpdate>(list(++rev, false, {server("s1990")})).entries[0].server, 1990U);
 }
 
 // Found by reading: servers that had gone long ago were looked up after those that go now had pushed them
@@ -386,7 +387,7 @@
 TEST(WhatIsBelieved, FollowsReportsAndOrdersAndForgetsWhatIsOld) {
     Beliefs beliefs;
     constexpr Micros kS = 1000000;
-    beliefs.told(kS, {ServerSums{1, 0, 20, 2, kS, 250000, {}}, ServerSums{2, 0, 10, 0, kS, 100000, {}},
+    beliefs.told(kS, {ServerStats{1, 0, 20, 2, kS, 250000, {}}, ServerStats{2, 0, 10, 0, kS, 100000, {}},
                       ProxyDemand{1, 0, 30, 0, kS}});
     beliefs.ordered({SetLine{1, 1, 1.0F}, SetLine{1, 2, 0.0F}, SetLevel{1, 0.5F, 1, 0}, Withdraw{3, true}});
     const auto line = beliefs.line(2 * kS);
@@ -570,7 +571,7 @@
                 return std::holds_alternative<ProxyJoined>(e);
             });
             if (number < 2 && joined) throw std::runtime_error("a defect");
-            const auto* list = std::get_if<ListNews>(&events.at(0));
+            const auto* list = std::get_if<ServerListUpdate>(&events.at(0));
             if (number < 2 || !joined || list == nullptr) return {};
             return {Bind{static_cast<ProxyId>(list->entries.size()), 1, 0}};
         };
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -28,7 +28,7 @@
     s.fallWithin = 2 * kSecond;
     s.warmUp = 16 * kSecond;
     ClassSettings plain;
-    plain.aim = 600 * kMs;
+    plain.latencyTarget = 600 * kMs;
     plain.giveUp = 2 * kSecond;
     plain.repeat = Repeat::retryable;
     ClassSettings dear = plain;
@@ -77,8 +77,8 @@
             turn();
         }
     }
-    void list(std::vector<ListEntry> entries, ListNewsKind kind = ListNewsKind::full) {
-        turn({ListNews{++version_, kind, std::move(entries)}});
+    void list(std::vector<ListEntry> entries, ServerListUpdateKind kind = ServerListUpdateKind::full) {
+        turn({ServerListUpdate{++version_, kind, std::move(entries)}});
     }
     void join(ProxyId id, ZoneId zone) {
         bound.erase(id);
@@ -94,7 +94,7 @@
         std::vector<Event> events;
         for (const ServerId id : at) {
             for (ZoneId z = 0; z < 2; ++z)
-                events.push_back(ServerSums{id, z, tries, failed, kSecond, mean, {}});
+                events.push_back(ServerStats{id, z, tries, failed, kSecond, mean, {}});
         }
         turn(events);
     }
--- a/tests/wire/wire_test.cpp
+++ b/tests/wire/wire_test.cpp
@@ -58,8 +58,8 @@
 
 TEST(Events, SumsAsOnTheWirePage) {
     const auto e =
-        only<ServerSums>(record("4204 03000000 01000000 074a1203 40420f00 0e000000 00 7abc0000 03 52b81e3f "
-                                "0000e040 00006841 00000000"));
+        only<ServerStats>(record("4204 03000000 01000000 074a1203 40420f00 0e000000 00 7abc0000 03 52b81e3f "
+                                 "0000e040 00006841 00000000"));
     EXPECT_EQ(e.failed, 1U);
     EXPECT_EQ(e.server, 0x03124a07U);
     EXPECT_EQ(e.period, 1000000);
@@ -92,7 +92,7 @@
     EXPECT_EQ(slice.slice, 117);
     EXPECT_EQ(slice.klass, 1);
     EXPECT_EQ(slice.came, 23U);
-    EXPECT_TRUE(only<SliceGiven>(record("6004 03000000 7500 01")).given);
+    EXPECT_TRUE(only<SliceAssignment>(record("6004 03000000 7500 01")).assigned);
     const auto line = only<SliceLine>(record("6a04 03000000 7500 0000803f f211902c"));
     EXPECT_FLOAT_EQ(static_cast<float>(line.weight), 1);
     EXPECT_EQ(line.server, 0x2c9011f2U);
@@ -107,8 +107,8 @@
         record("7404 00 00000000 02000000") + record("f203 03000000 2900000000000000 00 01");
     auto events = read(records, 2, rosters, tail);
     ASSERT_EQ(events.size(), 1U);
-    const auto news = std::get<ListNews>(std::get<Event>(events[0].what));
-    EXPECT_EQ(news.kind, ListNewsKind::cached);
+    const auto news = std::get<ServerListUpdate>(std::get<Event>(events[0].what));
+    EXPECT_EQ(news.kind, ServerListUpdateKind::cached);
     EXPECT_EQ(news.version, 41U);
     ASSERT_EQ(news.entries.size(), 2U);
     EXPECT_EQ(news.entries[1].cell, 2);
@@ -116,11 +116,12 @@
     EXPECT_EQ(news.entries[1].state, ServerState::draining);
     EXPECT_FLOAT_EQ(static_cast<float>(news.entries[1].weight), 1.5F);
     events = read(record("f203 04000000 2a00000000000000 00 00"), 1, rosters);  // the same number, next batch
-    EXPECT_EQ(std::get<ListNews>(std::get<Event>(events.at(0).what)).entries.size(), 2U);
+    EXPECT_EQ(std::get<ServerListUpdate>(std::get<Event>(events.at(0).what)).entries.size(), 2U);
 }
 
 TEST(Events, AFailedListNeedsNoRoster) {
-    EXPECT_EQ(only<ListNews>(record("f203 03000000 2900000000000000 07 03")).kind, ListNewsKind::failed);
+    EXPECT_EQ(only<ServerListUpdate>(record("f203 03000000 2900000000000000 07 03")).kind,
+              ServerListUpdateKind::failed);
 }
 
 TEST(Events, UnknownCodesAreSkipped) {
@@ -200,7 +201,7 @@
     const Settings s = parseSettings(plainSettings());
     EXPECT_DOUBLE_EQ(s.reportsPerS, 400);
     EXPECT_EQ(s.planners, 2U);
-    EXPECT_EQ(s.me, 1U);
+    EXPECT_EQ(s.plannerIndex, 1U);
     EXPECT_EQ(s.myZone, 1U);
     EXPECT_EQ(s.zones, 3U);
     EXPECT_TRUE(s.listOnRequest);
