--- a/src/policy/distribution.h
+++ b/src/policy/distribution.h
@@ -1,17 +1,15 @@
-// Distribution: which lines go to which proxies, and when (docs/design.md, 1 to 6), whatever a line says.
-// Proxies share tables; each push carries a mark that every proxy bound answers; only differences go out;
-// more of them wait until the mark is answered or has timed out, and merge. Urgent ones skip the wait.
-// Proxies that join, or that stay silent, get a fresh marked copy, which is folded back later.
-//
-// The Port says what a table should say and carries the orders out:
-//   const std::map<Key, Value>& wanted(const Scope&)   what the table should say now; steady within a turn
-//   Hash hash(const Value&)                            never 0
-//   double priority(const Scope&, const Key&, const Value* now, Hash held)   most first; kUrgentPriority: no
-//   wait std::size_t slot(const Scope&)                     which of a proxy's tables it is double
-//   lineBudget(std::size_t proxies, bool urgent)      so many lines may go to each of as many proxies bool
-//   mayWrite(const std::set<Proxy>&, double lines, bool urgent), mayCopy(const std::set<Proxy>&)
+/// Distribution of tables to proxies, whatever the lines contain (docs/design.md, 1 to 6). Proxies share
+/// tables. Only differences are sent, under a mark that every bound proxy acknowledges; later ones wait for
+/// that or its timeout and merge, urgent ones do not wait. Proxies that join or stay silent get a marked
+/// copy, folded back later. The Port supplies the desired content and carries out the orders:
+//   const std::map<Key, Value>& wanted(const Scope&)       desired content; constant within a turn
+//   Hash hash(const Value&)                                never 0
+//   double priority(const Scope&, const Key&, const Value* now, Hash held)    highest first
+//   std::size_t slot(const Scope&)                         which of a proxy's tables it is
+//   double lineBudget(std::size_t proxies, bool urgent)    lines that may go to each of so many proxies
+//   bool mayWrite(const std::set<Proxy>&, double lines, bool urgent), mayCopy(const std::set<Proxy>&)
 //   line(TableId, const Key&, const Value* now), drop(TableId), bind(Proxy, TableId), wrote(Proxy, double)
-// The turn's number is the mark of all that it wrote: whoever has the port sends it after the last order.
+/// The turn number is the mark of all that a turn wrote; the Port's owner sends it after the last order.
 #pragma once
 
 #include <algorithm>
@@ -21,7 +19,7 @@
 
 namespace marldale::policy {
 
-constexpr double kUrgentPriority = 1e9;
+constexpr double kUrgentPriority = 1e9;  // and above: the change does not wait for the mark
 
 template <class Key, class Value, class Scope, class Proxy, class Port>
 struct Distribution : TableStore<Key, Scope, Proxy> {
@@ -29,18 +27,18 @@
     using TableStore<Key, Scope, Proxy>::tables, TableStore<Key, Scope, Proxy>::mains;
     using TableStore<Key, Scope, Proxy>::proxyStates;
     struct Change {
-        double priority = 0;  // what goes first where not all fits
+        double priority = 0;  // highest first, if not all fits
         Key key{};
         const Value* now = nullptr;
     };
     Port& port;
-    const Micros markTimeout;  // an unanswered mark holds later changes this long
-    const Micros foldAfter;    // a copy lives at least this long before it is folded back
-    Distribution(Port& to, Micros timeout, Micros fold) : port(to), markTimeout(timeout), foldAfter(fold) {}
+    const Micros markTimeout;  // an unacknowledged mark holds later changes back this long
+    const Micros minCopyAge;   // before a copy is folded back
+    Distribution(Port& to, Micros timeout, Micros fold) : port(to), markTimeout(timeout), minCopyAge(fold) {}
     Micros now = 0;
     std::uint64_t turn = 0;
 
-    // What the table's proxies lack, most valuable first.
+    /// Changes between what the table's proxies hold and its desired content, by priority.
     [[nodiscard]] std::vector<Change> differences(const Table& t) const {
         const std::map<Key, Value>& wanted = port.wanted(t.scope);
         std::vector<Change> diff;
@@ -55,8 +53,8 @@
                          [](const Change& a, const Change& b) { return a.priority > b.priority; });
         return diff;
     }
-    // Sends what differs, or holds it until the open mark is answered or has run out. What does not fit the
-    // channel waits and merges into the next difference.
+    /// Sends the differences, unless a mark is open and none is urgent. What exceeds the budget is sent
+    /// later.
     void push(TableId id, Table& t) {
         std::vector<Change> diff = differences(t);
         if (diff.empty()) return;
@@ -90,8 +88,8 @@
         t.mark(turn, now, {p});
         write(p, 1 + t.lines());
     }
-    // A fresh marked copy of a place's table for these proxies; it is the main table where there is none.
-    // Where copies are dear those that join may share the main one.
+    /// Binds proxies to a new marked copy of a table, which becomes the main table if no proxy uses that one.
+    /// With `share` they are bound to the main table instead, if it is in use.
     void bindFresh(const std::set<Proxy>& ids, const Scope& scope, bool share) {
         const auto at = mains.find(scope);
         const bool alone = at == mains.end() || tables.at(at->second).bound.empty();
@@ -107,7 +105,7 @@
         for (const Proxy& p : ids) bind(p, table);
     }
 
-    // The timeout releases the wait; silent proxies go to a copy, so that the others are not held up.
+    /// Ends waits that timed out, and moves silent proxies to a copy so that they do not delay the others.
     void releaseSilent() {
         for (const auto& [id, silent] : this->unacknowledged(now - markTimeout)) {
             Table& t = tables.at(id);
@@ -116,7 +114,7 @@
             bindFresh(silent, Scope(t.scope), false);
         }
     }
-    // Copies that say the same as their main table are folded back, so that tables stay few and shared.
+    /// Folds copies that equal their main table back into it, so that tables stay few and shared.
     void foldCopies() {
         for (auto at = tables.begin(); at != tables.end();) {
             auto& [id, t] = *at;
@@ -128,7 +126,7 @@
             const TableId home = mains.at(t.scope);
             const Table& main = tables.at(home);
             if (t.copy && t.unacknowledged.empty() && main.unacknowledged.empty() &&
-                now - t.madeAt >= foldAfter && t.acked == main.acked &&
+                now - t.madeAt >= minCopyAge && t.acked == main.acked &&
                 port.mayWrite(t.bound, 1 + t.lines(), false)) {
                 const std::set<Proxy> ids = t.bound;
                 for (const Proxy& p : ids) bind(p, home);
--- a/src/policy/health.h
+++ b/src/policy/health.h
@@ -1,4 +1,4 @@
-// Health: which servers, and which ways between zones, are ejected on proof, and how they come back.
+/// Outlier ejection: removes failing servers and links between zones, and restores them through a trial.
 #pragma once
 
 #include <algorithm>
@@ -9,126 +9,130 @@
 
 namespace marldale::policy {
 
-constexpr Micros kTick = 200 * kMs;                 // how often held changes and health are looked at
-constexpr double kStatHalfLifeS = 2.5;              // health sums fade with this half-life
-constexpr double kEjectRatio = 0.5;                 // share of failed tries at which a server is ejected
-constexpr double kDeadRatio = 0.9;                  // what it takes when many fail or all are slow
-constexpr double kEjectTries = 4, kTrialTries = 2;  // on at least so many recent tries, of a trickle
-constexpr double kLeastFailing = 0.02;              // share of tries that fails at any server
-constexpr double kLinkHalfLifeS = 1;                // sums of a link fade faster: it has many tries
-constexpr double kRecovered = 0.2;                  // fewer failures in a trial: it is over at once
-constexpr double kLinkRatio = 0.75;                 // share of tries across zones failing that proves a cut
-constexpr double kHomeFails = 0.3;                  // a zone's own servers fail less: the link is to blame
-constexpr double kEjectMost = 0.3;                  // of the ready servers, at most this share is ejected
-constexpr Micros kEjectFor = 4 * kSecond;           // and then a trial
-constexpr double kTrialWeight = 0.1;                // trickle to a server that may have recovered
-constexpr Micros kTrialFor = 4 * kSecond;
-constexpr double kFailedAims = 2;  // a failed try counts as an answer after this many aims
-constexpr double kFewTries = 10;   // fewer say nothing about a fleet or a zone
-constexpr double kOverTime = 0.6;  // the fleet's answer time that proves overload
-constexpr double kCycleGain = 0.05, kIntakeFull = 0.8;  // of the intake: from here on sums come late
+constexpr Micros kTickInterval = 200 * kMs;  // between two evaluations of health, limits and held changes
 
-// Factors move in steps of a quarter octave, so that noise in what they come from sends no orders.
-inline double stepped(double factor) {
+constexpr double kHealthHalfLifeS = 2.5;  // of a server's try statistics
+constexpr double kLinkHalfLifeS = 1;      // of a link's; shorter, since a link has many tries
+
+constexpr double kEjectRatio = 0.5;                       // failure ratio that ejects a server
+constexpr double kDeadRatio = 0.9;                        // the same while many fail or all are slow
+constexpr double kMinEjectTries = 4, kMinTrialTries = 2;  // recent tries needed; a trial gets few
+constexpr double kMinUsualFailureRatio = 0.02;            // assumed of every server
+constexpr double kRecoveredFailureRatio = 0.2;            // below it a trial ends at once
+constexpr double kLinkFailureRatio = 0.75;                // of tries between two zones: the link is cut
+constexpr double kMaxLocalFailureRatio = 0.3;  // of the source zone's own servers, for a link to be to blame
+constexpr double kMaxEjectedShare = 0.3;       // of the ready servers
+constexpr double kTrialWeight = 0.1;           // weight factor during a trial
+constexpr Micros kEjectionTime = 4 * kSecond, kTrialTime = 4 * kSecond;  // the trial follows the ejection
+
+constexpr double kFailedTryTargets = 2;   // a failed try counts as an answer after this many latency targets
+constexpr double kMinSampleTries = 10;    // needed for a statement about the fleet or a zone
+constexpr double kOverloadLatency = 0.6;  // mean latency of an overloaded fleet, in latency targets
+constexpr double kPeriodGain = 0.05, kIntakeFullShare = 0.8;  // of the intake: above it reports are late
+
+/// Rounds a factor to steps of a quarter octave, so that noise in its inputs causes no actions.
+inline double quantized(double factor) {
     return factor <= 0 ? 0 : std::exp2(std::round(std::log2(factor) * 4) / 4);
 }
-inline double failedTime(const View& in) { return kFailedAims * in.aim; }
+inline double failedTryTime(const Context& ctx) { return kFailedTryTargets * ctx.latencyTarget; }
 
-// Where there are more lines than the intake takes, a server's sums come far less often than told.
-struct Cadence {
-    const View& in;
-    double told = 0, toldRate = 0, span = 0;
-    Micros cycle = in.set.reportEvery;
-    void note(const ServerStats& r) { span += kCycleGain * (static_cast<double>(r.period) - span); }
+/// Estimates how often each server is reported on: less often than configured when the intake is full.
+struct ReportCadence {
+    const Context& ctx;
+    double received = 0, rate = 0, period = 0;  // since the last tick; per second; mean of the reports, in us
+    Micros interval = ctx.settings.reportEvery;
+    void record(const ServerStats& r) { period += kPeriodGain * (static_cast<double>(r.period) - period); }
     void tick() {
-        toldRate += kCycleGain * (told * static_cast<double>(kSecond) / kTick - toldRate);
-        told = 0;
-        const bool full = in.set.reportsPerS > 0 && toldRate > kIntakeFull * in.set.reportsPerS;
-        cycle = full ? std::max(static_cast<Micros>(span), in.set.reportEvery) : in.set.reportEvery;
+        rate += kPeriodGain * (received * static_cast<double>(kSecond) / kTickInterval - rate);
+        received = 0;
+        const bool full = ctx.settings.reportsPerS > 0 && rate > kIntakeFullShare * ctx.settings.reportsPerS;
+        interval =
+            full ? std::max(static_cast<Micros>(period), ctx.settings.reportEvery) : ctx.settings.reportEvery;
     }
 };
 
-struct HealthBook {
-    const View& in;
-    const Cadence& cadence;
-    std::map<std::pair<ZoneId, ServerId>, Health> healths{};
+/// Health of servers and links, as seen by the proxies of each zone.
+struct HealthTracker {
+    const Context& ctx;
+    const ReportCadence& cadence;
+    std::map<std::pair<ZoneId, ServerId>, Health> servers{};
     std::map<std::pair<ZoneId, ZoneId>, Health> links{};  // from a zone's proxies to another zone's servers
-    double surprise = 0;  // how many deviations from what is usual prove that it was not chance
+    double deviations = 0;  // standard deviations above the usual failures that rule out chance
 
-    template <class Book, class Id>
-    [[nodiscard]] static double factorIn(const Book& book, const Id& id) {
-        const auto at = book.find(id);
-        if (at == book.end() || at->second.fit == Fit::ok) return 1;
-        return at->second.fit == Fit::trial ? kTrialWeight : 0;
+    template <class Map, class Id>
+    [[nodiscard]] static double factor(const Map& map, const Id& id) {
+        const auto at = map.find(id);
+        if (at == map.end() || at->second.state == HealthState::ok) return 1;
+        return at->second.state == HealthState::trial ? kTrialWeight : 0;
+    }
+    [[nodiscard]] double linkFactor(ZoneId from, ZoneId to) const {
+        return factor(links, std::pair(from, to));
     }
-    [[nodiscard]] double linkOf(ZoneId from, ZoneId to) const { return factorIn(links, std::pair(from, to)); }
-    [[nodiscard]] double of(ZoneId zone, ServerId id) const {
-        return factorIn(healths, std::pair(zone, id)) * linkOf(zone, in.fleet.at(id).entry.zone);
+    [[nodiscard]] double serverFactor(ZoneId zone, ServerId id) const {
+        return factor(servers, std::pair(zone, id)) * linkFactor(zone, ctx.fleet.at(id).entry.zone);
     }
-    void note(const ServerStats& r) {
-        const ZoneId to = in.fleet.at(r.server).entry.zone;
-        healths[{r.fromZone, r.server}].note(r, in.now, kStatHalfLifeS, failedTime(in));
-        if (to != r.fromZone) links[{r.fromZone, to}].note(r, in.now, kLinkHalfLifeS, failedTime(in));
+    void record(const ServerStats& r) {
+        const ZoneId to = ctx.fleet.at(r.server).entry.zone;
+        servers[{r.fromZone, r.server}].record(r, ctx.now, kHealthHalfLifeS, failedTryTime(ctx));
+        if (to != r.fromZone) links[{r.fromZone, to}].record(r, ctx.now, kLinkHalfLifeS, failedTryTime(ctx));
     }
-    // What a process did is no sign of its successor: one that hung and came back is only cold (i4aa4a7).
+    /// Forgets a restarted server: the new process must not inherit its predecessor's record (i4aa4a7).
     void forget(ServerId id) {
-        for (ZoneId z = 0; z < in.set.zones; ++z) healths.erase({z, id});
+        for (ZoneId z = 0; z < ctx.settings.zones; ++z) servers.erase({z, id});
     }
-    // One step of a health machine: eject on proof, come back by a trickle. True if it ejects now.
+    /// One step of the ok -> ejected -> trial state machine. Returns true if it ejects now.
     bool advance(Health& h, double proof, double usual, bool mayEject) {
-        if (h.fit == Fit::ejected) {
-            if (in.now < h.until) return false;
-            h.fit = Fit::trial;
-            h.until = in.now + kTrialFor + cadence.cycle + kSecond;
+        if (h.state == HealthState::ejected) {
+            if (ctx.now < h.until) return false;
+            h.state = HealthState::trial;
+            h.until = ctx.now + kTrialTime + cadence.interval + kSecond;
             return false;
         }
-        const double least = h.fit == Fit::trial ? kTrialTries : kEjectTries;
-        const double chance = std::max(usual, kLeastFailing) * h.seen.tries;
-        const bool proven = h.seen.failed - chance >= surprise * std::sqrt(chance);
-        if (mayEject && h.seen.tries >= least && h.seen.ratio() >= proof && proven) {
-            h.fit = Fit::ejected;
-            h.until = in.now + kEjectFor;
-            h.seen = {};
-            h.countFrom = h.until + cadence.cycle + kSecond;  // late sums of before say nothing new
+        const double minTries = h.state == HealthState::trial ? kMinTrialTries : kMinEjectTries;
+        const double expectedFailures = std::max(usual, kMinUsualFailureRatio) * h.stats.tries;
+        const bool proven = h.stats.failed - expectedFailures >= deviations * std::sqrt(expectedFailures);
+        if (mayEject && h.stats.tries >= minTries && h.stats.failRatio() >= proof && proven) {
+            h.state = HealthState::ejected;
+            h.until = ctx.now + kEjectionTime;
+            h.stats = {};
+            h.countFrom = h.until + cadence.interval + kSecond;  // skips late reports on earlier tries
             return true;
         }
-        const bool recovered = h.seen.tries >= least && h.seen.ratio() < kRecovered;
-        if (h.fit == Fit::trial && (recovered || in.now >= h.until)) h.fit = Fit::ok;
+        const bool recovered = h.stats.tries >= minTries && h.stats.failRatio() < kRecoveredFailureRatio;
+        if (h.state == HealthState::trial && (recovered || ctx.now >= h.until)) h.state = HealthState::ok;
         return false;
     }
-    void judge(bool overloaded) {
+    void evaluate(bool overloaded) {  // once per tick
         std::vector<double> ratios;
         std::map<ZoneId, double> ejected;
-        std::map<ZoneId, Tally> home;
-        Tally all;
-        for (auto& [key, h] : healths) {
-            h.seen.fade(in.now, kStatHalfLifeS);
-            if (h.fit == Fit::ejected) ejected[key.first] += 1;
-            if (h.fit != Fit::ejected && h.seen.tries >= 1) ratios.push_back(h.seen.ratio());
-            all.add(h.seen);
-            if (in.fleet.at(key.second).entry.zone != key.first) continue;
-            home[key.first].add(h.seen);
+        std::map<ZoneId, TryStats> local;
+        TryStats all;
+        for (auto& [key, h] : servers) {
+            h.stats.decay(ctx.now, kHealthHalfLifeS);
+            if (h.state == HealthState::ejected) ejected[key.first] += 1;
+            if (h.state != HealthState::ejected && h.stats.tries >= 1) ratios.push_back(h.stats.failRatio());
+            all.add(h.stats);
+            if (ctx.fleet.at(key.second).entry.zone != key.first) continue;
+            local[key.first].add(h.stats);
         }
-        // Among hundreds of servers chance alone fails four of four tries somewhere: proof grows with the
-        // fleet.
-        surprise = std::sqrt(2 * std::log(1 + static_cast<double>(healths.size())));
+        // Among hundreds of servers four failed tries of four occur by chance: the bar rises with the fleet.
+        deviations = std::sqrt(2 * std::log(1 + static_cast<double>(servers.size())));
         std::sort(ratios.begin(), ratios.end());
         const double usual = ratios.empty() ? 0 : ratios[ratios.size() / 2];
-        // A zone that answers nothing to another zone whose own servers answer it is cut off, not broken.
+        // If a zone fails for another zone whose own servers answer, the link between them is cut.
         for (auto& [key, h] : links) {
-            h.seen.fade(in.now, kLinkHalfLifeS);
-            advance(h, kLinkRatio, 0, home[key.first].ratio() < kHomeFails);
+            h.stats.decay(ctx.now, kLinkHalfLifeS);
+            advance(h, kLinkFailureRatio, 0, local[key.first].failRatio() < kMaxLocalFailureRatio);
         }
-        // Panic threshold: many failing at once, or answers slow on the whole, means load or network. Then
-        // only servers that answer all but nothing are ejected, and nobody once half of them fail.
+        // Panic threshold: many failures at once, or a slow fleet, point to load or the network. Then only
+        // servers that answer almost nothing are ejected, and none once the median failure ratio is one half.
         const bool panic = usual > kEjectRatio;
         const double proof = overloaded ? kDeadRatio : std::clamp(3 * usual, kEjectRatio, kDeadRatio);
-        const auto ready = static_cast<double>(readyIn(in.fleet));
-        for (auto& [key, h] : healths) {
-            if (linkOf(key.first, in.fleet.at(key.second).entry.zone) < 1)
-                h.seen = {};  // the link is to blame
-            ejected[key.first] +=
-                advance(h, proof, all.ratio(), !panic && ejected[key.first] + 1 <= kEjectMost * ready);
+        const auto ready = static_cast<double>(countReady(ctx.fleet));
+        for (auto& [key, h] : servers) {
+            if (linkFactor(key.first, ctx.fleet.at(key.second).entry.zone) < 1) h.stats = {};  // link fault
+            ejected[key.first] += advance(h, proof, all.failRatio(),
+                                          !panic && ejected[key.first] + 1 <= kMaxEjectedShare * ready);
         }
     }
 };
--- a/src/policy/joins.h
+++ b/src/policy/joins.h
@@ -1,4 +1,4 @@
-// Joins and restart: which proxies come and go, and whose table each is bound to.
+/// Binds joining proxies to tables, and rebinds proxies whose home zone changes.
 #pragma once
 
 #include <algorithm>
@@ -9,68 +9,69 @@
 namespace marldale::policy {
 
 struct Joins {
-    View& in;
+    Context& ctx;
     Levels& levels;
     Tables& tables;
-    std::set<ProxyId> joined{};            // and not bound yet
-    std::vector<std::set<ZoneId>> open{};  // by group: zones with a warm server, worked out once a turn
+    std::set<ProxyId> joined{};                 // and not bound yet
+    std::vector<std::set<ZoneId>> openZones{};  // zones with a warm server, by class group; set every turn
 
     void on(const ProxyJoined& j) {
         on(ProxyLeft{j.proxy});
-        levels.rescale(j.usualRate);
-        Proxy& p = in.proxies[j.proxy];
+        levels.scaleLimit(j.usualRate);
+        Proxy& p = ctx.proxies[j.proxy];
         p.zone = j.zone;
         p.rate = j.usualRate;
-        tables.lines.proxyStates[j.proxy];
+        tables.distribution.proxyStates[j.proxy];
         joined.insert(j.proxy);
     }
     void on(const ProxyLeft& l) {
-        const auto at = in.proxies.find(l.proxy);
-        if (at == in.proxies.end()) return;
-        tables.lines.leave(l.proxy);
-        levels.rescale(-at->second.rate);
-        in.proxies.erase(at);
+        const auto at = ctx.proxies.find(l.proxy);
+        if (at == ctx.proxies.end()) return;
+        tables.distribution.leave(l.proxy);
+        levels.scaleLimit(-at->second.rate);
+        ctx.proxies.erase(at);
         joined.erase(l.proxy);
         levels.demands.drop(l.proxy);
     }
-    // Where a group's requests go: the proxy's own zone if it has an open warm server, else another zone.
+    /// Zone that serves a class group: the proxy's own if it has a warm server, else another.
     [[nodiscard]] ZoneId homeZone(ProxyId id, ZoneId zone, std::size_t g) const {
-        if (open[g].empty() || open[g].count(zone) || in.groups[g].ownZoneOnly) return zone;
-        return *std::next(open[g].begin(), static_cast<std::ptrdiff_t>(id % open[g].size()));
+        if (openZones[g].empty() || openZones[g].count(zone) || ctx.groups[g].ownZoneOnly) return zone;
+        return *std::next(openZones[g].begin(), static_cast<std::ptrdiff_t>(id % openZones[g].size()));
     }
-    // As many as the channel takes, the busiest first: until then they have their standing tables.
-    void bindJoined() {
-        if (joined.empty() || readyIn(in.fleet) == 0) return;  // what they hold is better than nothing
+    /// Binds as many proxies as the channel takes, busiest first; the others keep their standing tables.
+    void bindJoins() {
+        if (joined.empty() || countReady(ctx.fleet) == 0) return;  // they keep what they hold
         std::vector<ProxyId> order(joined.begin(), joined.end());
-        std::stable_sort(order.begin(), order.end(),
-                         [&](ProxyId a, ProxyId b) { return in.proxies.at(a).rate > in.proxies.at(b).rate; });
+        std::stable_sort(order.begin(), order.end(), [&](ProxyId a, ProxyId b) {
+            return ctx.proxies.at(a).rate > ctx.proxies.at(b).rate;
+        });
         std::map<Scope, std::set<ProxyId>> fresh;
-        const double each =
-            static_cast<double>(in.groups.size()) * in.tableLines() + in.set.envelopeLines + 1;
-        double left = tables.room(false);
+        const double cost =
+            static_cast<double>(ctx.groups.size()) * ctx.tableLines() + ctx.settings.envelopeLines + 1;
+        double left = tables.remainingLines(false);
         for (const ProxyId id : order) {
-            if (left < each && (tables.channel.waiting() > 0 || left < tables.room(false))) break;
-            left -= each;
-            Proxy& p = in.proxies.at(id);
-            p.column = in.columns.leastStrained(p.zone);
-            in.columns.loads[{p.zone, p.column}] += p.rate;
-            for (std::size_t g = 0; g < in.groups.size(); ++g) {
-                fresh[{homeZone(id, p.zone, g), g, p.column}].insert(id);
+            if (left < cost && (tables.channel.backlog() > 0 || left < tables.remainingLines(false))) break;
+            left -= cost;
+            Proxy& p = ctx.proxies.at(id);
+            p.subset = ctx.subsets.leastUsed(p.zone);
+            ctx.subsets.loads[{p.zone, p.subset}] += p.rate;
+            for (std::size_t g = 0; g < ctx.groups.size(); ++g) {
+                fresh[{homeZone(id, p.zone, g), g, p.subset}].insert(id);
             }
             joined.erase(id);
         }
-        for (const auto& [scope, ids] : fresh) tables.lines.bindFresh(ids, scope, in.dear);
+        for (const auto& [scope, ids] : fresh) tables.distribution.bindFresh(ids, scope, ctx.linesCostly);
     }
-    void rebind() {
-        auto& lines = tables.lines;
-        for (auto& [id, p] : in.proxies) {
-            for (const auto& [g, table] : lines.proxyStates.at(id).tables) {
-                const Scope home = {homeZone(id, p.zone, g), g, p.column};
-                if (std::get<0>(lines.tables.at(table).scope) == std::get<0>(home) ||
-                    !tables.mayWrite({id}, in.tableLines(), true))
+    void rebindMoved() {  // proxies whose home zone has changed
+        auto& distribution = tables.distribution;
+        for (auto& [id, p] : ctx.proxies) {
+            for (const auto& [g, table] : distribution.proxyStates.at(id).tables) {
+                const Scope home = {homeZone(id, p.zone, g), g, p.subset};
+                if (std::get<0>(distribution.tables.at(table).scope) == std::get<0>(home) ||
+                    !tables.mayWrite({id}, ctx.tableLines(), true))
                     continue;
-                lines.mains.count(home) ? lines.bind(id, lines.mains.at(home))
-                                        : lines.bindFresh({id}, home, false);
+                distribution.mains.count(home) ? distribution.bind(id, distribution.mains.at(home))
+                                               : distribution.bindFresh({id}, home, false);
             }
         }
     }
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,5 +1,5 @@
-// marldale's decisions, part by part: servers.h, health.h, weights.h, levels.h, distribution.h, tables.h,
-// joins.h, slices.h, each with its state and tuned values. Here they are put together, turn by turn.
+/// One turn of the planner, composed of servers.h, health.h, weights.h, levels.h, distribution.h, tables.h,
+/// joins.h and slices.h. Each of these holds the state and constants of its decisions.
 #include "policy/policy.h"
 
 #include "policy/joins.h"
@@ -8,31 +8,31 @@
 namespace marldale {
 
 struct Planner::State {
-    explicit State(Settings settings) : in{std::move(settings)} {}
+    explicit State(Settings settings) : ctx{std::move(settings)} {}
 
-    policy::View in;
-    policy::Cadence cadence{in};
-    policy::HealthBook health{in, cadence};
-    policy::Weights weights{in, health};
-    policy::Servers servers{in, health, weights};
-    policy::Levels levels{in, cadence};
-    policy::Tables tables{{in}, servers, levels};
-    policy::Joins joins{in, levels, tables};
-    policy::SliceKeeper slices{in, tables};
+    policy::Context ctx;
+    policy::ReportCadence cadence{ctx};
+    policy::HealthTracker health{ctx, cadence};
+    policy::Weights weights{ctx, health};
+    policy::Servers servers{ctx, health, weights};
+    policy::Levels levels{ctx, cadence};
+    policy::Tables tables{{ctx}, servers, levels};
+    policy::Joins joins{ctx, levels, tables};
+    policy::SliceAssigner slices{ctx, tables};
     Micros nextTick = 0;
-    bool due = true;  // something came that may call for orders; else they wait for the tick
+    bool runPending = true;  // an event may need orders before the next tick
 
-    void on(const ServerListUpdate& news) { servers.on(news); }
+    void on(const ServerListUpdate& update) { servers.on(update); }
     void on(const ServerStats& r) {
-        ++cadence.told;
-        if (!in.fleet.count(r.server)) return;
-        cadence.note(r);
-        // What a broken link does is no sign of the servers behind it.
-        if (health.linkOf(r.fromZone, in.fleet.at(r.server).entry.zone) == 1) {
-            weights.note(r);
-            levels.note(r);
+        ++cadence.received;
+        if (!ctx.fleet.count(r.server)) return;
+        cadence.record(r);
+        // Failures of a broken link say nothing about the servers behind it.
+        if (health.linkFactor(r.fromZone, ctx.fleet.at(r.server).entry.zone) == 1) {
+            weights.record(r);
+            levels.record(r);
         }
-        health.note(r);
+        health.record(r);
     }
     void on(const ProxyDemand& d) { levels.on(d); }
     void on(const Ceiling& c) { levels.on(c); }
@@ -41,50 +41,50 @@
     void on(const SliceAssignment& g) { slices.on(g); }
     void on(const SliceLine& l) { slices.on(l); }
     void on(const Acknowledged& a) {
-        const auto answer = tables.lines.acknowledge(a.proxy, a.mark, 0xffffU);
-        if (answer.turn) tables.channel.reached(*answer.turn);
-        due = due || answer.over;
+        const auto acknowledgement = tables.distribution.acknowledge(a.proxy, a.mark, 0xffffU);
+        if (acknowledgement.turn) tables.channel.acknowledge(*acknowledgement.turn);
+        runPending = runPending || acknowledgement.over;
     }
-    void on(const auto& /*event*/) {}  // our timers only wake us; no decision needs the other events yet
+    void on(const auto& /*event*/) {}  // timers only cause a turn; the other events are unused
 
     void runTables() {
-        levels.now = levels.levelsNow();
-        joins.open = in.openZones();
-        servers.deal();
+        levels.current = levels.computeLevels();
+        joins.openZones = ctx.warmZones();
+        servers.assignSubsets();
         tables.contents.clear();
-        joins.bindJoined();
-        joins.rebind();
-        tables.lines.run();
+        joins.bindJoins();
+        joins.rebindMoved();
+        tables.distribution.run();
     }
     void turn(const std::vector<Event>& events) {
-        tables.lines.now = in.now;
-        if (tables.lines.turn == 0) servers.askForList();
+        tables.distribution.now = ctx.now;
+        if (tables.distribution.turn == 0) servers.subscribeToList();
         for (const Event& event : events) {
-            due = due || std::holds_alternative<ServerListUpdate>(event) ||
-                  std::holds_alternative<ProxyJoined>(event);
+            runPending = runPending || std::holds_alternative<ServerListUpdate>(event) ||
+                         std::holds_alternative<ProxyJoined>(event);
             std::visit([this](const auto& e) { on(e); }, event);
         }
         tables.open();
-        if (in.now >= nextTick) {
+        if (ctx.now >= nextTick) {
             cadence.tick();
-            levels.fade();
-            health.judge(levels.overloaded);
-            servers.noteAnswered();
-            weights.shift();
-            levels.setLimit();
-            weights.spread();
-            if (in.columns.members.size() > 1) servers.even(levels.demands);
-            servers.bury([this](ServerId id) { return tables.lines.anyHolds(id); });
-            nextTick = in.now + policy::kTick;
-            in.out.push_back(ArmTimer{policy::kTick, 0});
-            due = true;
+            levels.decay();
+            health.evaluate(levels.overloaded);
+            servers.updateColdFactor();
+            weights.updateLatencyFactors();
+            levels.updateLimit();
+            weights.updateSpillovers();
+            if (ctx.subsets.members.size() > 1) servers.rebalanceSubsets(levels.demands);
+            servers.removeGone([this](ServerId id) { return tables.distribution.anyHolds(id); });
+            nextTick = ctx.now + policy::kTickInterval;
+            ctx.actions.push_back(ArmTimer{policy::kTickInterval, 0});
+            runPending = true;
         }
-        if (due) {
+        if (runPending) {
             tables.withdraw(joins.joined);
-            in.set.shards > 0 ? slices.run() : runTables();
-            due = false;
+            ctx.settings.shards > 0 ? slices.run() : runTables();
+            runPending = false;
         }
-        tables.close(tables.lines.turn++);
+        tables.close(tables.distribution.turn++);
     }
 };
 
@@ -94,10 +94,10 @@
 Planner& Planner::operator=(Planner&&) noexcept = default;
 
 std::vector<Action> Planner::turn(Micros now, const std::vector<Event>& events) {
-    state_->in.now = now;
-    state_->in.out.clear();
+    state_->ctx.now = now;
+    state_->ctx.actions.clear();
     state_->turn(events);
-    return std::move(state_->in.out);
+    return std::move(state_->ctx.actions);
 }
 
 }  // namespace marldale
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -1,4 +1,4 @@
-// The decision module: one planner instance.
+/// The decision module's entry point.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace marldale {
 
-// One planner instance. It reads time only from `turn` and randomness only from Settings::seed.
+/// A planner instance. It is deterministic: time comes only from `turn`, randomness only from Settings::seed.
 class Planner {
 public:
     explicit Planner(Settings settings);
@@ -18,7 +18,7 @@
     Planner(const Planner&) = delete;
     Planner& operator=(const Planner&) = delete;
 
-    // All events of one moment, in order; the actions take effect at that moment, in order.
+    /// Handles the events of one moment, in order, and returns the actions to carry out, in order.
     [[nodiscard]] std::vector<Action> turn(Micros now, const std::vector<Event>& events);
 
 private:
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -1,4 +1,4 @@
-// The decision module by itself, part by part.
+// Tests of the decision module alone, part by part.
 #include "support/fleet.h"
 
 namespace marldale::test {
@@ -6,15 +6,15 @@
 
 using enum ServerState;
 
-// The list gives server 2 another weight; the change has time to go out.
-void reweigh(Rig& rig, double weight) {
+// Changes the listed weight of server 2 and waits until the change is sent.
+void changeWeight(Rig& rig, double weight) {
     ListEntry entry = server(2, 0);
     entry.weight = weight;
     rig.list({entry}, ServerListUpdateKind::delta);
     rig.run(400 * kMs);
 }
 
-// All servers answer but server 2, which fails every try; the ejection has time to go out.
+// Server 2 fails every try and the others answer; waits until the ejection is sent.
 Rig rigWithServer2Failing() {
     Rig rig = settledRig();
     rig.sums({1, 3, 4}, 10, 0, 150 * kMs);
@@ -50,37 +50,37 @@
     EXPECT_FLOAT_EQ(rig.weight(0, 1), rig.weight(0, 2));
 }
 
-TEST(Push, AHeldChangeWaitsForTheAnswerAndMerges) {
+TEST(Push, AHeldChangeWaitsForTheAcknowledgementAndMerges) {
     Rig rig = settledRig();
     rig.silent = {0};
-    reweigh(rig, 2);
-    EXPECT_FLOAT_EQ(rig.weight(0, 2), 2);  // sent under a mark that proxy 0 does not answer
+    changeWeight(rig, 2);
+    EXPECT_FLOAT_EQ(rig.weight(0, 2), 2);  // sent under a mark that proxy 0 does not acknowledge
     for (const double w : {3.0, 4.0}) {
-        reweigh(rig, w);
-        EXPECT_FLOAT_EQ(rig.weight(0, 2), 2) << "a change went out under an unanswered mark";
+        changeWeight(rig, w);
+        EXPECT_FLOAT_EQ(rig.weight(0, 2), 2) << "a change was sent under an open mark";
     }
     const int before = rig.messages[1];
     rig.answerNow(0);
     rig.run(600 * kMs);
-    EXPECT_FLOAT_EQ(rig.weight(0, 2), 4);  // both held changes as one difference
+    EXPECT_FLOAT_EQ(rig.weight(0, 2), 4);  // both held changes, as one difference
     EXPECT_EQ(rig.messages[1], before + 1);
 }
 
 TEST(Push, TheTimeoutReleasesTheWaitAndTheSilentProxyGetsACopy) {
     Rig rig = settledRig();
     rig.silent = {0};
-    reweigh(rig, 2);
-    reweigh(rig, 3);
+    changeWeight(rig, 2);
+    changeWeight(rig, 3);
     rig.run(3500 * kMs);
     EXPECT_NE(rig.tableOf(0), rig.tableOf(1));
     EXPECT_FLOAT_EQ(rig.weight(1, 2), 3);
-    EXPECT_FLOAT_EQ(rig.weight(0, 2), 3) << "later changes go to copies too";
+    EXPECT_FLOAT_EQ(rig.weight(0, 2), 3) << "later changes are sent to copies too";
 }
 
-TEST(Push, ALateAnswerAfterTheTimeoutFoldsTheCopyBack) {
+TEST(Push, ALateAcknowledgementAfterTheTimeoutFoldsTheCopyBack) {
     Rig rig = settledRig();
     rig.silent = {0};
-    reweigh(rig, 2);
+    changeWeight(rig, 2);
     rig.run(3600 * kMs);
     ASSERT_NE(rig.tableOf(0), rig.tableOf(1));
     rig.answerNow(0);
@@ -102,14 +102,14 @@
 TEST(Push, AJoinDuringAPushGetsTheWholeTableAtOnce) {
     Rig rig = settledRig();
     rig.silent = {0};
-    reweigh(rig, 2);
-    reweigh(rig, 3);
+    changeWeight(rig, 2);
+    changeWeight(rig, 3);
     rig.join(7, 0);
     EXPECT_FLOAT_EQ(rig.weight(7, 2), 3);
     EXPECT_FLOAT_EQ(rig.weight(1, 2), 2) << "the shared table still waits";
 }
 
-TEST(Push, AnAnswerOfADepartedProxyChangesNothing) {
+TEST(Push, AnAcknowledgementOfADepartedProxyChangesNothing) {
     Rig rig = settledRig();
     rig.leave(0);
     const auto actions = rig.turn(
@@ -122,7 +122,7 @@
 
 // ---- Pacer ----
 
-TEST(Pacer, NoProxyIsWrittenMoreThanTheLimitWhateverComes) {
+TEST(Pacer, NoProxyGetsMoreMessagesThanTheLimit) {
     Settings s = calmSettings();
     s.messagesMost = 6;
     s.messagesOver = 10 * kSecond;
@@ -130,8 +130,7 @@
     rig.list({server(1, 0), server(2, 0), server(3, 1), server(4, 1), server(5, 1)});
     rig.now += kSecond;
     rig.join(0, 0);
-    for (int i = 0; i < 100;
-         ++i) {  // a list that never rests: one server drains and comes back, over and over
+    for (int i = 0; i < 100; ++i) {  // one server drains and returns over and over
         rig.now += 100 * kMs;
         rig.list({server(5, 1, i % 2 == 0 ? draining : ready)}, ServerListUpdateKind::delta);
     }
@@ -139,10 +138,10 @@
     EXPECT_LE(rig.messages[0], 6);
 }
 
-TEST(Pacer, WithoutAnswersTheBacklogStaysUnderItsCap) {
+TEST(Pacer, WithoutAcknowledgementsTheBacklogStaysUnderItsCap) {
     Settings s = calmSettings();
     s.backlogLines = 150;
-    s.pushRate = 1;  // a channel that all but stands still
+    s.pushRate = 1;  // an almost stopped channel
     Rig rig = settledRig(s);
     rig.sums({1, 2, 3, 4}, 10, 0, 150 * kMs);
     rig.run(kSecond);
@@ -155,7 +154,7 @@
     const int before = sent();
     double lines = 0;
     int rounds = 0;
-    for (int i = 0; i < 100; ++i) {  // a server that restarts again and again: each time an urgent change
+    for (int i = 0; i < 100; ++i) {  // a server restarts again and again, each time an urgent change
         rig.now += 300 * kMs;
         ListEntry e = server(2, 0, ready, rig.now);
         e.weight = 1 + i % 7;
@@ -170,10 +169,10 @@
 
 // ---- Withdrawals ----
 
-TEST(Withdrawals, ADrainSkipsTheWaitOfAnUnansweredMark) {
+TEST(Withdrawals, ADrainDoesNotWaitForAnOpenMark) {
     Rig rig = settledRig();
     rig.silent = {0, 1, 2, 3};
-    reweigh(rig, 2);
+    changeWeight(rig, 2);
     rig.list({server(1, 0, draining)}, ServerListUpdateKind::delta);
     rig.run(300 * kMs);
     EXPECT_TRUE(rig.withdrawn[1]);
@@ -231,7 +230,7 @@
     EXPECT_FLOAT_EQ(weight, full);
 }
 
-// Found by incident i4aa4a7: servers that had vanished kept the trickle of an ejected one on top of their
+// Incident i4aa4a7: restarted servers kept the trial weight of their ejected predecessor on top of their
 // ramp.
 TEST(SlowStart, ARestartedServerIsNotHeldToWhatItsFormerProcessDid) {
     Rig rig = rigWithServer2Failing();
@@ -241,8 +240,8 @@
     EXPECT_GT(rig.weight(0, 2), 0.15F * rig.weight(0, 1));
 }
 
-// Found by incident i6bbaa1: half a fleet came back cold into a jam and was pushed over.
-TEST(SlowStart, InAJamColdServersTakeNothing) {
+// Incident i6bbaa1: half a fleet returned cold into an overload and tipped over.
+TEST(SlowStart, UnderOverloadColdServersGetNoTraffic) {
     Rig rig = settledRig();
     rig.sums({1, 2, 3, 4}, 20, 18, kSecond);
     rig.run(300 * kMs);
@@ -267,7 +266,7 @@
     EXPECT_GT(rig.weight(0, 1), 0);
 }
 
-// Found by incident i9298a4: a cold server's share grew as the warm ones lost weight.
+// Incident i9298a4: a cold server's share grew as the warm ones lost weight.
 TEST(SlowStart, AColdServerShrinksWithTheWarmWeight) {
     Rig rig = settledRig();
     rig.sums({1, 2, 3, 4}, 10, 0, 150 * kMs);
@@ -284,7 +283,7 @@
 
 // ---- Health ----
 
-TEST(Health, AServerThatAnswersNothingIsEjectedAndComesBackByATrickle) {
+TEST(Health, AServerThatAnswersNothingIsEjectedAndReturnsAtALowWeight) {
     Rig rig = rigWithServer2Failing();
     EXPECT_FLOAT_EQ(rig.weight(0, 2), 0);
     rig.run(5 * kSecond);
@@ -309,8 +308,8 @@
     EXPECT_LT(rig.weight(0, 2), 0.8F * rig.weight(0, 1));
 }
 
-// Found on days with a zone cut: the cap on ejections left half of another zone's lines in the tables.
-TEST(Health, AZoneThatCannotBeReachedFromOneSideIsLeftToItself) {
+// With a zone cut off, the cap on ejections left half of the other zone's lines in the tables.
+TEST(Health, AnUnreachableZoneIsNotUsedByTheOther) {
     Rig rig = settledRig();
     for (int i = 0; i < 4; ++i) {
         std::vector<Event> events;
@@ -328,12 +327,12 @@
     for (const ServerId s : {1U, 2U}) EXPECT_GT(rig.weight(0, s), 0);
     for (const ServerId s : {3U, 4U}) EXPECT_GT(rig.weight(2, s), 0);
     rig.run(10 * kSecond);
-    EXPECT_GT(rig.weight(0, 3), 0) << "the other side is tried again";
+    EXPECT_GT(rig.weight(0, 3), 0) << "the other zone is tried again";
 }
 
-// Found on a day of slow channels: a zone drawn in to its own servers tipped before it was hot in absolute
-// terms.
-TEST(Health, AZoneWhoseServersQueueGetsTheOthersLines) {
+// With slow channels, a zone that used only its own servers tipped over before their latency was high in
+// absolute terms.
+TEST(Health, AZoneWhoseServersQueueGetsOtherZonesLines) {
     Rig rig = settledRig();
     for (int i = 0; i < 30; ++i) {
         rig.sums({1, 2, 3, 4}, 10, 0, 100 * kMs);
@@ -341,7 +340,7 @@
     }
     ASSERT_FLOAT_EQ(rig.weight(0, 3), 0);
     for (int i = 0; i < 4; ++i) {
-        rig.sums({1, 2}, 10, 0, 200 * kMs);  // a third of the aim: not hot yet, but twice the usual
+        rig.sums({1, 2}, 10, 0, 200 * kMs);  // a third of the latency target, but twice the usual
         rig.run(kSecond);
     }
     EXPECT_GT(rig.weight(0, 3), 0);
@@ -357,9 +356,9 @@
     EXPECT_LT(rig.weight(0, 2), 0.8F * rig.weight(0, 1));
 }
 
-TEST(Health, AZoneWithSlackKeepsToItself) {
+TEST(Health, AZoneWithSpareCapacityUsesOnlyItsOwnServers) {
     Rig rig = settledRig();
-    ASSERT_GT(rig.weight(0, 3), 0) << "nothing is proven at the start: lines of all zones";
+    ASSERT_GT(rig.weight(0, 3), 0) << "nothing is known at the start: lines of all zones";
     for (int i = 0; i < 30; ++i) {
         rig.sums({1, 2, 3, 4}, 10, 0, 100 * kMs);
         rig.run(kSecond);
@@ -370,18 +369,18 @@
         rig.sums({1, 2, 3, 4}, 10, 0, 500 * kMs);
         rig.run(kSecond);
     }
-    EXPECT_GT(rig.weight(0, 3), 0) << "a hot zone gets the others' lines";
+    EXPECT_GT(rig.weight(0, 3), 0) << "an overloaded zone gets lines of other zones";
 }
 
 // ---- Levels and retries ----
 
-Settings sheddingSettings(Admission how) {
+Settings admissionSettings(Admission how) {
     Settings s = calmSettings();
     s.admission = how;
     return s;
 }
 
-void jam(Rig& rig, int seconds) {
+void overload(Rig& rig, int seconds) {
     for (int i = 0; i < seconds; ++i) {
         std::vector<Event> demand;
         for (ProxyId p = 0; p < 4; ++p) {
@@ -393,9 +392,9 @@
     }
 }
 
-// Found on worse days in service: 75 proxies made lines dear, and ten servers of a zone were left to
-// themselves with another twenty at hand.
-TEST(Zones, AFleetTooSmallForColumnsSpreadsWhateverItsTablesCost) {
+// 75 proxies made lines costly, and ten servers of a zone had to serve alone while twenty others were
+// available.
+TEST(Zones, AFleetTooSmallForSubsetsUsesOtherZonesWhateverItsTablesCost) {
     Settings settings = calmSettings();
     settings.proxies = 400;  // their tables take over half a second of the channel
     Rig rig(settings);
@@ -406,8 +405,9 @@
     for (ServerId id = 0; id < 20; ++id) EXPECT_GT(rig.weight(0, id), 0) << id;
 }
 
-// A fleet that is replaced all day under new ids: what has gone is forgotten, and may come back all the same.
-TEST(Withdrawals, AServerThatHasGoneAndComesBackIsLetBack) {
+// Servers that are gone are forgotten, since a fleet may be replaced all day under new ids. One may still
+// return.
+TEST(Withdrawals, ARemovedServerThatReturnsIsRestored) {
     Rig rig = settledRig();
     ListEntry gone = server(2, 0, ServerState::gone);
     rig.list({gone}, ServerListUpdateKind::delta);
@@ -420,57 +420,58 @@
     EXPECT_GT(rig.weight(0, 2), 0);
 }
 
-TEST(Levels, ProvenOverloadShedsTheLeastWorthFirst) {
-    Rig rig = settledRig(sheddingSettings(Admission::share));
+TEST(Levels, ProvenOverloadShedsTheClassWorthLeastFirst) {
+    Rig rig = settledRig(admissionSettings(Admission::share));
     EXPECT_GE(rig.levels[rig.tableOf(0)][1].limit, 1);
-    jam(rig, 4);
+    overload(rig, 4);
     const auto& levels = rig.levels[rig.tableOf(0)];
     EXPECT_LT(levels.at(1).limit, 0.9F);
     EXPECT_LT(levels.at(1).limit, levels.at(2).limit);
 }
 
-TEST(Levels, RatesAreSetWhereTheSiteTakesRates) {
-    Rig rig = settledRig(sheddingSettings(Admission::rate));
-    jam(rig, 6);
+TEST(Levels, RatesAreSetIfTheSiteAdmitsByRate) {
+    Rig rig = settledRig(admissionSettings(Admission::rate));
+    overload(rig, 6);
     EXPECT_GT(rig.levels[rig.tableOf(0)][1].limit, 1) << "a rate, not a share";
     EXPECT_LT(rig.levels[rig.tableOf(0)][1].limit, 20);
 }
 
-// Found on worse days in service: with half a request a second and proxy, a level of what was to be let in
-// let in half of that.
-TEST(Levels, ARateIsHighEnoughForRequestsThatComeByChance) {
-    EXPECT_NEAR(letIn(0.5, 0.5, 1), 0.25, 1e-6) << "one place, as many again as it serves: half are refused";
-    EXPECT_NEAR(letIn(2, 0.5, 1), 0.4, 1e-6);
-    EXPECT_NEAR(letIn(100, 50, 25), 50, 0.1) << "a long queue lets in what it serves";
-    for (const double came : {0.1, 0.5, 3.0, 200.0}) {
-        const std::vector<double> rates(20, came);
+// At half a request per second and proxy, a limit equal to the wanted rate admitted only half of it.
+TEST(Levels, ARateIsHighEnoughForRandomArrivals) {
+    EXPECT_NEAR(admittedRate(0.5, 0.5, 1), 0.25, 1e-6)
+        << "one place, served as fast as requests arrive: half are refused";
+    EXPECT_NEAR(admittedRate(2, 0.5, 1), 0.4, 1e-6);
+    EXPECT_NEAR(admittedRate(100, 50, 25), 50, 0.1) << "a long queue admits what it serves";
+    for (const double arriving : {0.1, 0.5, 3.0, 200.0}) {
+        const std::vector<double> rates(20, arriving);
         double before = 0;
-        for (const double keep : {0.3, 0.6, 0.9}) {
-            const double rate = evenRate(rates, keep, 0.5);
-            EXPECT_NEAR(letIn(came, rate, std::max(1.0, rate / 2)), keep * came, 0.01 * came);
+        for (const double share : {0.3, 0.6, 0.9}) {
+            const double rate = rateForShare(rates, share, 0.5);
+            EXPECT_NEAR(admittedRate(arriving, rate, std::max(1.0, rate / 2)), share * arriving,
+                        0.01 * arriving);
             EXPECT_GT(rate, before);
             before = rate;
         }
     }
 }
 
-// Nobody reports that nothing came, so what is not told again must not stand for good.
-TEST(Levels, DemandThatIsNotToldAgainFades) {
+// Absence of requests is not reported, so old demand must not persist.
+TEST(Levels, DemandThatIsNotReportedAgainDecays) {
     Demands demands;
     demands.rates[{1, 0}] = {4, 0};
     demands.rates[{2, 0}] = {4, 0};
-    demands.fade(2500 * kMs, 2 * kSecond, kSecond, 0.2);
+    demands.decay(2500 * kMs, 2 * kSecond, kSecond, 0.2);
     EXPECT_DOUBLE_EQ(demands.total(), 8) << "not late yet";
     for (Micros now = 3 * kSecond; now < 60 * kSecond; now += 200 * kMs) {
         demands.rates[{2, 0}] = {4, now};
-        demands.fade(now, 2 * kSecond, kSecond, 0.2);
+        demands.decay(now, 2 * kSecond, kSecond, 0.2);
     }
     EXPECT_NEAR(demands.total(), 4, 0.05);
 }
 
-TEST(Levels, TheyAreLiftedWhenAnswersAreFastAgain) {
-    Rig rig = settledRig(sheddingSettings(Admission::share));
-    jam(rig, 6);
+TEST(Levels, LimitsAreLiftedWhenAnswersAreFastAgain) {
+    Rig rig = settledRig(admissionSettings(Admission::share));
+    overload(rig, 6);
     for (int i = 0; i < 60; ++i) {
         rig.sums({1, 2, 3, 4}, 20, 0, 100 * kMs);
         rig.run(kSecond);
@@ -479,7 +480,7 @@
 }
 
 TEST(Levels, SlowAnswersOfOneServerAreNoOverload) {
-    Rig rig = settledRig(sheddingSettings(Admission::share));
+    Rig rig = settledRig(admissionSettings(Admission::share));
     for (int i = 0; i < 6; ++i) {
         rig.sums({1, 3, 4}, 10, 0, 150 * kMs);
         rig.sums({2}, 10, 10, 0);
@@ -488,24 +489,23 @@
     EXPECT_GE(rig.levels[rig.tableOf(0)][1].limit, 1);
 }
 
-// Found on an overloaded day: one jam, seen in fading sums, was answered again and again until 98% was
-// refused.
-TEST(Levels, TheLimitStaysAboveAPartOfWhatTheFleetHasProven) {
-    Rig rig = settledRig(sheddingSettings(Admission::share));
-    jam(rig, 40);
+// One overload, seen in decaying statistics, caused cut after cut until 98% of requests were refused.
+TEST(Levels, TheLimitStaysAboveAPartOfThePeakRate) {
+    Rig rig = settledRig(admissionSettings(Admission::share));
+    overload(rig, 40);
     EXPECT_GT(rig.levels[rig.tableOf(0)][2].limit, 0.2F);
 }
 
-// Found on a roll of the controllers: a dead planner's proxies were held to the limit of the few who had been
-// here.
+// During a rolling restart of controllers, the proxies of a stopped planner were held to a limit made for the
+// few proxies that were here before.
 TEST(Levels, ALimitGrowsWithTheProxiesThatJoin) {
-    Rig rig = settledRig(sheddingSettings(Admission::share));
-    jam(rig, 4);
-    const auto letIn = [&rig] {
+    Rig rig = settledRig(admissionSettings(Admission::share));
+    overload(rig, 4);
+    const auto admitted = [&rig] {
         const auto& levels = rig.levels[rig.tableOf(0)];
         return levels.at(1).limit + levels.at(2).limit;
     };
-    const float before = letIn();
+    const float before = admitted();
     std::vector<Event> joins;
     for (ProxyId p = 10; p < 14; ++p) joins.push_back(ProxyJoined{p, 0, 10, false});
     rig.turn(joins);
@@ -515,18 +515,18 @@
     }
     rig.turn(demand);
     rig.run(kSecond);
-    EXPECT_GE(letIn(), 0.9F * before);
+    EXPECT_GE(admitted(), 0.9F * before);
 }
 
-TEST(Retries, WhatMustNotRunTwiceIsOnlyTriedAgainAfterProof) {
+TEST(Retries, ANonRepeatableRequestIsRetriedOnlyIfProvenNotToHaveRun) {
     Rig rig = settledRig();
     EXPECT_LE(rig.levels[rig.tableOf(0)][2].retryMode, 1);
 }
 
-TEST(Retries, OverloadTakesFurtherTriesAway) {
-    Rig rig = settledRig(sheddingSettings(Admission::none));
+TEST(Retries, OverloadDisablesRetries) {
+    Rig rig = settledRig(admissionSettings(Admission::none));
     EXPECT_EQ(rig.levels[rig.tableOf(0)][1].retryMode, 1);
-    jam(rig, 6);
+    overload(rig, 6);
     EXPECT_EQ(rig.levels[rig.tableOf(0)][1].retryMode, 0);
     EXPECT_GE(rig.levels[rig.tableOf(0)][1].limit, 1);
 }
@@ -546,7 +546,7 @@
 
 // ---- Sites with slices ----
 
-// Two ready servers, one proxy, and slice 3 in our charge at server 1.
+// Two ready servers, one proxy, and slice 3 assigned to this planner and held by server 1.
 Rig sliceRig(Settings s) {
     s.shards = 4;
     Rig rig(std::move(s));
@@ -573,7 +573,7 @@
     EXPECT_EQ(rig.count<Bind>(), 0);
 }
 
-TEST(Slices, WhatIsTakenAwayIsOrderedNoMore) {
+TEST(Slices, ASliceTakenAwayGetsNoMoreOrders) {
     Rig rig = sliceRig(calmSettings());
     rig.turn({SliceAssignment{3, false}});
     rig.list({server(1, 0, gone)}, ServerListUpdateKind::delta);
@@ -589,7 +589,7 @@
     EXPECT_TRUE(rig.tables[3].count(2));
 }
 
-// ---- Restart and joins ----
+// ---- Restarts and joins ----
 
 TEST(Restart, AnEmptyInstanceBindsWhenTheListComes) {
     Rig rig(calmSettings());
@@ -618,7 +618,7 @@
     EXPECT_EQ(rig.tableOf(0), rig.tableOf(1));
 }
 
-TEST(Restart, SameEventsSameActions) {
+TEST(Restart, TheSameEventsCauseTheSameActions) {
     const auto play = [] {
         Rig rig = settledRig();
         rig.sums({1, 2, 3}, 10, 0, 150 * kMs);
--- a/tests/policy/scale_test.cpp
+++ b/tests/policy/scale_test.cpp
@@ -1,4 +1,5 @@
-// The decision module at full size: hundreds of servers and proxies, a channel that is small against them.
+// Tests of the decision module at full size: hundreds of servers and proxies, and a channel that is small for
+// them.
 #include <algorithm>
 #include <limits>
 
@@ -46,8 +47,8 @@
     rig.run(8 * kSecond);
     return rig;
 }
-// What the latest turn's binds cost the channel.
-double bindLines(const Rig& rig, double head) {
+// Channel lines that the binds of the latest turn take.
+double linesOfBinds(const Rig& rig, double head) {
     double lines = 0;
     std::set<ProxyId> reached;
     for (const Action& a : rig.last) {
@@ -63,7 +64,7 @@
 std::size_t boundCount(const Rig& rig) { return rig.bound.size(); }
 const std::map<ServerId, float>& tableFor(const Rig& rig, ProxyId p) { return rig.tables.at(rig.tableOf(p)); }
 
-std::set<ServerId> serversNamed(const Rig& rig) {  // in any proxy's table
+std::set<ServerId> serversInTables(const Rig& rig) {  // in any proxy's table
     std::set<ServerId> seen;
     for (ProxyId p = 0; p < kProxies; ++p) {
         for (const auto& [id, weight] : tableFor(rig, p)) seen.insert(id);
@@ -74,8 +75,8 @@
     for (const auto& [id, weight] : tableFor(rig, p)) EXPECT_EQ(zoneOf(id), p % 2);
 }
 
-// Found by the first score at full size: a first bind of all proxies was several times the backlog.
-TEST(Scale, HundredsThatJoinInOneTurnNeverOverfillTheBacklog) {
+// The first bind of all proxies took several times the allowed backlog.
+TEST(Scale, HundredsOfJoinsInOneTurnStayWithinTheBacklog) {
     Settings s = bigSettings();
     s.backlogLines = 1200;
     Rig rig(s);
@@ -83,18 +84,18 @@
     rig.answers = false;
     double lines = 0;
     rig.turn(bigJoin());
-    lines += bindLines(rig, s.envelopeLines);
+    lines += linesOfBinds(rig, s.envelopeLines);
     EXPECT_GT(boundCount(rig), 0U);
     EXPECT_LT(boundCount(rig), static_cast<std::size_t>(kProxies));
-    for (int i = 0; i < 3; ++i) {  // so soon that not a line has left for sure
+    for (int i = 0; i < 3; ++i) {  // too soon for any line to have left the channel
         rig.now += 10 * kMs;
         rig.turn();
-        lines += bindLines(rig, s.envelopeLines);
+        lines += linesOfBinds(rig, s.envelopeLines);
     }
     EXPECT_LE(lines, s.backlogLines);
 }
 
-TEST(Scale, TheBusiestAreBoundFirstAndAllWithinSeconds) {
+TEST(Scale, TheBusiestProxiesAreBoundFirstAndAllWithinSeconds) {
     Settings s = bigSettings();
     s.backlogLines = 2000;
     Rig rig(s);
@@ -107,7 +108,7 @@
     EXPECT_EQ(boundCount(rig), static_cast<std::size_t>(kProxies));
 }
 
-TEST(Scale, TablesAreBoundedSharedAndOfTheZoneAlone) {
+TEST(Scale, TablesAreBoundedAndSharedAndHoldOneZone) {
     const Rig rig = boundRig();
     std::set<TableId> used;
     for (ProxyId p = 0; p < kProxies; ++p) {
@@ -119,13 +120,13 @@
     EXPECT_LT(used.size(), kProxies / 2U);
 }
 
-TEST(Scale, EveryServerStandsInSomeTable) {
+TEST(Scale, EveryServerIsInSomeTable) {
     const Rig rig = boundRig();
-    EXPECT_EQ(serversNamed(rig).size(), static_cast<std::size_t>(kServers));
+    EXPECT_EQ(serversInTables(rig).size(), static_cast<std::size_t>(kServers));
 }
 
-// One unfit server used to bring every zone's lines back into every table.
-TEST(Scale, OneFailingServerLeavesOnlyItsColumnAndBringsNoOtherZone) {
+// One unhealthy server brought the lines of every zone back into every table.
+TEST(Scale, OneFailingServerIsRemovedAndBringsNoLinesOfOtherZones) {
     Rig rig = boundRig();
     std::vector<Event> sums;
     for (const ListEntry& e : bigList()) {
@@ -139,8 +140,9 @@
     }
 }
 
-// Five failed tries of five are chance somewhere among hundreds where two fifths of all tries are lost.
-TEST(Scale, AFewLostTriesAmongHundredsEjectNobody) {
+// With two fifths of all tries lost, five failures of five occur by chance somewhere among hundreds of
+// servers.
+TEST(Scale, AFewFailedTriesAmongHundredsEjectNoServer) {
     Rig rig = boundRig();
     std::vector<Event> sums;
     for (const ListEntry& e : bigList()) {
@@ -149,12 +151,12 @@
     }
     rig.turn(sums);
     rig.run(kSecond);
-    EXPECT_EQ(serversNamed(rig).size(), static_cast<std::size_t>(kServers));
+    EXPECT_EQ(serversInTables(rig).size(), static_cast<std::size_t>(kServers));
 }
 
-// Found by the emulator: whole lines of another zone doubled what their servers got, which then were the next
-// to be hot (120 boxes of which a fifth fail: service 0.90, 0.96 with a part of their weight).
-TEST(Scale, AHotZoneTakesLinesOfAZoneThatAnswersFasterAtAPartOfTheirWeight) {
+// Lines of another zone at full weight doubled the load of their servers, which were overloaded next (120
+// servers of which a fifth fail: service 0.90, and 0.96 with a part of the weight).
+TEST(Scale, AnOverloadedZoneBorrowsServersOfAFasterZoneAtAPartOfTheirWeight) {
     Rig rig = boundRig();
     for (int i = 0; i < 6; ++i) {
         std::vector<Event> sums;
@@ -165,19 +167,19 @@
         rig.turn(sums);
         rig.run(kSecond);
     }
-    const auto others = [&rig](ProxyId p) {
+    const auto borrowed = [&rig](ProxyId p) {
         return std::count_if(tableFor(rig, p).begin(), tableFor(rig, p).end(),
                              [p](const auto& line) { return zoneOf(line.first) != p % 2; });
     };
-    EXPECT_GT(others(0), 0);
-    EXPECT_EQ(others(1), 0) << "the cool zone keeps to itself";
+    EXPECT_GT(borrowed(0), 0);
+    EXPECT_EQ(borrowed(1), 0) << "the other zone uses only its own servers";
     int compared = 0;
     for (ProxyId hot = 0; hot < kProxies; hot += 2) {
-        for (const auto& [id, lent] : tableFor(rig, hot)) {
+        for (const auto& [id, borrowedWeight] : tableFor(rig, hot)) {
             for (ProxyId cool = 1; cool < kProxies && zoneOf(id) == 1; cool += 2) {
                 const auto own = tableFor(rig, cool).find(id);
                 if (own == tableFor(rig, cool).end()) continue;
-                EXPECT_LT(lent, 0.5F * own->second);
+                EXPECT_LT(borrowedWeight, 0.5F * own->second);
                 ++compared;
             }
         }
@@ -185,8 +187,8 @@
     EXPECT_GT(compared, 0);
 }
 
-// A difference larger than the room was held for ever; now the part that fits goes, the rest merges.
-TEST(Scale, ADifferenceLargerThanTheRoomGoesInParts) {
+// A difference larger than the budget was held back forever. The part that fits has to be sent.
+TEST(Scale, ADifferenceLargerThanTheBudgetIsSentInParts) {
     Settings s = calmSettings();
     s.backlogLines = 120;
     s.pushRate = 100000;
@@ -213,7 +215,7 @@
     for (const auto& [id, weight] : tableFor(rig, 0)) EXPECT_GT(weight, 1) << "server " << id;
 }
 
-TEST(Scale, AThirdOfTheFleetIsWithdrawnInOneMessageAProxy) {
+TEST(Scale, AThirdOfTheFleetIsWithdrawnInOneMessagePerProxy) {
     Rig rig = boundRig();
     rig.run(2 * kSecond);
     const auto before = rig.messages;
@@ -223,7 +225,7 @@
     for (const auto& [p, count] : rig.messages) EXPECT_LE(count - before.at(p), 2);
 }
 
-TEST(Scale, NoProxyIsWrittenMoreThanTheLimitWhileTheFleetChurns) {
+TEST(Scale, NoProxyGetsMoreMessagesThanTheLimitWhileTheFleetChanges) {
     Rig rig = boundRig();
     const auto before = rig.messages;
     for (int i = 0; i < 33; ++i) {
@@ -235,9 +237,8 @@
     for (const auto& [p, count] : rig.messages) EXPECT_LE(count - before.at(p), 12);
 }
 
-// Found on an overload day: a column was both the most and the least strained, and a move onto itself
-// crashed.
-TEST(Scale, AZoneLeftWithOneServerGoesOn) {
+// Under overload a subset was both the most and the least used one, and moving a server within it crashed.
+TEST(Scale, AZoneLeftWithOneServerIsStillServed) {
     Rig rig = boundRig();
     rig.list(bigList(draining, 2, kServers), ServerListUpdateKind::delta);
     std::vector<Event> demand;
@@ -249,7 +250,7 @@
     for (ProxyId p = 0; p < kProxies; ++p) EXPECT_GT(rig.weight(p, 0) + rig.weight(p, 1), 0);
 }
 
-TEST(Scale, AFleetThatGrowsFourfoldIsDealtAndStaysBounded) {
+TEST(Scale, AFleetThatGrowsFourfoldKeepsTablesBounded) {
     Settings s = bigSettings();
     Rig rig(s);
     rig.list(bigList(ready, 0, kServers / 4));
@@ -267,11 +268,11 @@
     for (ProxyId p = 0; p < kProxies; ++p) {
         EXPECT_LT(tableFor(rig, p).size(), kServers / 2U);
     }
-    EXPECT_EQ(serversNamed(rig).size(), static_cast<std::size_t>(kServers));
+    EXPECT_EQ(serversInTables(rig).size(), static_cast<std::size_t>(kServers));
 }
 
-// Found by incident i4e1fe9: past a mark the other zone's lines left every table in the middle of a surge.
-TEST(Scale, AFleetThatGrowsDoesNotChangeItsWaysUnderLoad) {
+// Incident i4e1fe9: past a certain size the other zone's lines left every table during a surge.
+TEST(Scale, AGrowingFleetKeepsLinesOfOtherZonesUnderLoad) {
     Settings s = bigSettings();
     s.proxies = 36;
     s.planners = 1;
@@ -279,22 +280,22 @@
     rig.list(bigList(ready, 0, 30));
     rig.turn(bigJoin(36));
     rig.run(3 * kSecond);
-    ASSERT_GT(rig.weight(0, 1), 0) << "the other zone's lines";
+    ASSERT_GT(rig.weight(0, 1), 0) << "lines of the other zone";
     rig.list(bigList(ready, 30, 90, rig.now), ServerListUpdateKind::delta);
     rig.run(2 * kSecond);
     EXPECT_GT(rig.weight(0, 1), 0);
 }
 
-// Where the intake is full, each window holds a part of the servers; taken for the whole, a cut is far too
-// deep.
-TEST(Scale, ACutIsJudgedByAllServersWhereSumsComeLate) {
-    const auto levelAfterJam = [](double intake) {
+// If the report intake is full, each window holds a part of the servers. Taken for all of them, it leads to
+// far too deep a cut.
+TEST(Scale, ACutAccountsForServersWhoseReportsAreLate) {
+    const auto levelAfterOverload = [](double reportsPerS) {
         Settings s = bigSettings();
         s.admission = Admission::rate;
-        s.reportsPerS = intake;
+        s.reportsPerS = reportsPerS;
         Rig rig = boundRig(s);
         for (int round = 0; round < 60;
-             ++round) {  // a quarter of the servers a second, each sum of four seconds
+             ++round) {  // a quarter of the servers per second, each report over four seconds
             std::vector<Event> events;
             for (const ListEntry& e : bigList()) {
                 if (static_cast<int>(e.server) % 20 != round % 20) continue;
@@ -310,9 +311,9 @@
         }
         return least;
     };
-    const float late = levelAfterJam(100), unaware = levelAfterJam(0);
-    EXPECT_LT(late, 1e5F) << "no limit was set";
-    EXPECT_GT(late, unaware);
+    const float limited = levelAfterOverload(100), unlimited = levelAfterOverload(0);
+    EXPECT_LT(limited, 1e5F) << "no limit was set";
+    EXPECT_GT(limited, unlimited);
 }
 
 TEST(Scale, SeveralPlannersWithTheSameEventsActTheSame) {
@@ -353,7 +354,7 @@
     EXPECT_EQ(boundCount(rig), 3U);
 }
 
-TEST(Extreme, ProxiesThatLeaveBeforeTheirFirstAnswerLeaveNothingBehind) {
+TEST(Extreme, ProxiesThatLeaveBeforeTheirFirstAcknowledgementLeaveNoState) {
     Rig rig(bigSettings());
     rig.list(bigList());
     rig.answers = false;
@@ -369,7 +370,7 @@
     EXPECT_EQ(boundCount(rig), static_cast<std::size_t>(kProxies));
 }
 
-TEST(Extreme, AMarkAnsweredTwiceOrNeverSentChangesNothing) {
+TEST(Extreme, AMarkAcknowledgedTwiceOrNeverSentChangesNothing) {
     Rig rig = boundRig();
     const auto before = rig.tables;
     rig.turn({Acknowledged{1, 1, kSecond}, Acknowledged{1, 1, kSecond}, Acknowledged{1, 65535, kSecond}});
