--- a/bench/learning_rig.cpp
+++ b/bench/learning_rig.cpp
@@ -9,14 +9,14 @@
 
 #include "marldale/relay_tables.h"
 #include "recovery/codec.h"
-#include "recovery/memory.h"
+#include "recovery/coordinator.h"
 #include "scripted_planner.h"
 
 namespace marldale::bench {
 namespace {
 
+using recovery::Coordinator;
 using recovery::Handover;
-using recovery::Memory;
 using standin::kMs;
 using standin::kSecond;
 using standin::Micros;
@@ -93,9 +93,9 @@
             }
         }
         rev_ = news.rev;
-        std::map<std::string, recovery::Knowledge::Listed> all;
+        std::map<std::string, recovery::Knowledge::ListedServer> all;
         for (const auto& [uid, e] : list_) all[uid] = {e.state, e.bootUs / 1000};
-        memory_.listed(rev_, all, now);
+        memory_.updateList(rev_, all, now);
     }
     // Words of one moment, a list's among them or not, and the turn that follows.
     void moment(const std::vector<standin::Word>& words, const std::optional<protocol::CatalogNews>& list,
@@ -120,12 +120,12 @@
     void recall(Micros now, Learnt& out) {
         now_ = now;
         std::vector<routing::Input> inputs;
-        const recovery::MemoryActions todo = memory_.due(now);
+        const recovery::CoordinatorActions todo = memory_.due(now);
         routing::ListInput holds;
         holds.cached = true;
         holds.news.rev = rev_;
         for (const recovery::Hold& hold : todo.holds) {
-            const auto at = list_.find(hold.box);
+            const auto at = list_.find(hold.server);
             if (at == list_.end()) continue;
             holds.news.entries.push_back(at->second);
             if (hold.held) holds.news.entries.back().state = ServerState::draining;
@@ -135,7 +135,7 @@
         for (const auto& r : todo.sums) {
             protocol::Outcomes row;
             row.zone = r.zone;
-            row.server = r.box;
+            row.server = r.server;
             row.tries = static_cast<std::uint32_t>(r.tries);
             row.failed = std::min(row.tries, static_cast<std::uint32_t>(r.failed + 0.5));
             row.meanUs = row.failed < row.tries ? r.mean : 0;
@@ -145,14 +145,14 @@
         }
         if (!inputs.empty()) core_->step(inputs, kClock + now);
     }
-    Memory& memory() { return memory_; }
+    Coordinator& memory() { return memory_; }
     [[nodiscard]] std::uint64_t badLines() const { return badLines_; }
     // Boxes that a donor's list has not ready: no relay may be given a line of them.
     void watchFor(std::set<std::string> boxes) { bad_ = std::move(boxes); }
 
 private:
-    static recovery::MemorySettings settingsFor(int number, std::uint64_t incarnation) {
-        recovery::MemorySettings out;
+    static recovery::CoordinatorSettings settingsFor(int number, std::uint64_t incarnation) {
+        recovery::CoordinatorSettings out;
         out.self = "n" + std::to_string(number);
         out.incarnation = incarnation;
         return out;
@@ -184,7 +184,7 @@
     void read(const standin::Word& word, std::vector<routing::Input>& inputs) {
         if (const auto* h = std::get_if<standin::RelayHello>(&word)) {
             tables_.join(static_cast<std::uint32_t>(h->relay));
-            memory_.joined(static_cast<std::uint32_t>(h->relay), h->site);
+            memory_.proxyJoined(static_cast<std::uint32_t>(h->relay), h->site);
             inputs.emplace_back(
                 protocol::News{protocol::Hello{static_cast<ProxyId>(h->relay), h->site, h->rps, h->fresh}});
         } else if (const auto* b = std::get_if<standin::RelayBye>(&word)) {
@@ -196,7 +196,8 @@
         } else if (const auto* s = std::get_if<standin::SumRow>(&word)) {
             const auto box = list_.find(s->box);
             if (box != list_.end()) {
-                memory_.saw({s->box, s->site, box->second.bootUs / 1000, s->tries, s->failed, s->mean}, now_);
+                memory_.recordOutcomes(
+                    {s->box, s->site, box->second.bootUs / 1000, s->tries, s->failed, s->mean}, now_);
             }
             protocol::Outcomes row;
             row.zone = s->site;
@@ -220,7 +221,7 @@
     standin::World& world_;
     const int number_;
     const protocol::Config config_;
-    Memory memory_;
+    Coordinator memory_;
     client::RelayTables tables_;
     std::unique_ptr<routing::PlannerCore> core_;
     std::map<std::string, protocol::CatalogEntry> list_;
@@ -319,10 +320,10 @@
         std::string wrong;
         const std::string bytes = recovery::encode(*told);
         out.handedBytes = bytes.size();
-        (void)victim.memory().recall(recovery::decode(bytes, wrong).value(), age, kUp);
+        (void)victim.memory().mergeSnapshot(recovery::decode(bytes, wrong).value(), age, kUp);
         std::set<std::string> gone;
         for (const auto& fact : told->listed) {
-            if (fact.state != ServerState::ready) gone.insert(fact.box);
+            if (fact.state != ServerState::ready) gone.insert(fact.server);
         }
         victim.watchFor(gone);
     }
--- a/bench/measure_learning.cpp
+++ b/bench/measure_learning.cpp
@@ -125,17 +125,17 @@
         (std::filesystem::temp_directory_path() / ("marldale-measure-" + std::to_string(getpid()))).string();
     bool whole = true;
     for (const int boxes : {30, 540, 5400}) {
-        std::map<std::string, Knowledge::Listed> list;
+        std::map<std::string, Knowledge::ListedServer> list;
         for (int i = 0; i < boxes; ++i) list["box-" + std::to_string(i)] = {marldale::ServerState::ready, 5};
         marldale::recovery::KnowledgeRules rules;
         Knowledge donor("n1", 1, rules), other("n2", 1, rules);
         for (Knowledge* k : {&other, &donor}) {
-            k->listSays(1, list, 0);
+            k->updateList(1, list, 0);
             for (int i = 0; i < boxes; ++i) {
                 for (const char* zone : {"a", "b", "c"}) {
-                    k->saw({"box-" + std::to_string(i), zone, 5, 30 + static_cast<std::uint32_t>(i % 40), 1,
-                            90000 + i * 17},
-                           0);
+                    k->recordOutcomes({"box-" + std::to_string(i), zone, 5,
+                                       30 + static_cast<std::uint32_t>(i % 40), 1, 90000 + i * 17},
+                                      0);
                 }
             }
         }
@@ -154,7 +154,7 @@
             const auto back = marldale::recovery::decode(bytes, wrong);
             decode = std::min(decode, msSince(start));
             Knowledge asker("n3", 1, rules);
-            asker.listSays(1, list, 0);
+            asker.updateList(1, list, 0);
             start = std::chrono::steady_clock::now();
             facts = asker.merge(*back, 0, kSecond).taken;
             merge = std::min(merge, msSince(start));
--- a/cmake/recovery.cmake
+++ b/cmake/recovery.cmake
@@ -2,8 +2,8 @@
 pkg_check_modules(ZSTD REQUIRED IMPORTED_TARGET libzstd)
 add_library(marldale_peers STATIC src/decisions/membership/peers.cpp)
 target_include_directories(marldale_peers PUBLIC src src/base src/decisions)
-add_library(marldale_recovery STATIC src/decisions/recovery/asking.cpp src/decisions/recovery/codec.cpp src/decisions/recovery/knowledge.cpp
-  src/decisions/recovery/memory.cpp src/decisions/recovery/snapshot.cpp)
+add_library(marldale_recovery STATIC src/decisions/recovery/peer_queries.cpp src/decisions/recovery/codec.cpp src/decisions/recovery/knowledge.cpp
+  src/decisions/recovery/coordinator.cpp src/decisions/recovery/snapshot.cpp)
 target_include_directories(marldale_recovery PUBLIC src src/base src/decisions)
 target_link_libraries(marldale_recovery PUBLIC marldale_peers PRIVATE PkgConfig::ZSTD)
 
--- a/src/decisions/recovery/codec.cpp
+++ b/src/decisions/recovery/codec.cpp
@@ -55,10 +55,10 @@
     std::string sums, listed, demand;
     putVar(sums, handover.sums.size());
     for (const SumFact& f : handover.sums) {
-        for (const std::string* name : {&f.origin, &f.box, &f.zone}) putVar(sums, names.of(*name));
+        for (const std::string* name : {&f.origin, &f.server, &f.zone}) putVar(sums, names.of(*name));
         putVar(sums, static_cast<std::uint64_t>(f.bootMs));
-        putVar(sums, f.word.incarnation);
-        putVar(sums, f.word.number);
+        putVar(sums, f.version.incarnation);
+        putVar(sums, f.version.number);
         putVar(sums, static_cast<std::uint64_t>(f.age));
         putVar(sums, f.tries);
         putVar(sums, f.failed);
@@ -72,7 +72,7 @@
     }
     putVar(listed, handover.listed.size());
     for (const ListedFact& f : handover.listed) {
-        putVar(listed, names.of(f.box));
+        putVar(listed, names.of(f.server));
         putVar(listed, f.version);
         putVar(listed, static_cast<std::uint64_t>(f.state));
         putVar(listed, static_cast<std::uint64_t>(f.bootMs));
@@ -81,8 +81,8 @@
     putVar(demand, handover.demand.size());
     for (const DemandFact& f : handover.demand) {
         for (const std::string* name : {&f.origin, &f.zone, &f.klass}) putVar(demand, names.of(*name));
-        putVar(demand, f.word.incarnation);
-        putVar(demand, f.word.number);
+        putVar(demand, f.version.incarnation);
+        putVar(demand, f.version.number);
         putVar(demand, static_cast<std::uint64_t>(f.age));
         putFixed<std::uint64_t>(demand, std::bit_cast<std::uint64_t>(f.rate));
         putVar(demand, f.proxies);
@@ -123,12 +123,12 @@
     if (count > kFactsMost) return false;
     for (std::uint64_t i = 0; i < count && in.good(); ++i) {
         SumFact f;
-        for (std::string* name : {&f.origin, &f.box, &f.zone}) {
+        for (std::string* name : {&f.origin, &f.server, &f.zone}) {
             if (!readName(in, names, *name)) return false;
         }
         f.bootMs = static_cast<std::int64_t>(in.var());
-        f.word.incarnation = in.var();
-        f.word.number = in.var();
+        f.version.incarnation = in.var();
+        f.version.number = in.var();
         f.age = static_cast<Micros>(in.var());
         f.tries = static_cast<std::uint32_t>(in.var());
         f.failed = static_cast<std::uint32_t>(in.var());
@@ -152,7 +152,7 @@
     if (count > kFactsMost) return false;
     for (std::uint64_t i = 0; i < count && in.good(); ++i) {
         ListedFact f;
-        if (!readName(in, names, f.box)) return false;
+        if (!readName(in, names, f.server)) return false;
         f.version = in.var();
         const std::uint64_t state = in.var();
         f.bootMs = static_cast<std::int64_t>(in.var());
@@ -173,8 +173,8 @@
         for (std::string* name : {&f.origin, &f.zone, &f.klass}) {
             if (!readName(in, names, *name)) return false;
         }
-        f.word.incarnation = in.var();
-        f.word.number = in.var();
+        f.version.incarnation = in.var();
+        f.version.number = in.var();
         f.age = static_cast<Micros>(in.var());
         f.rate = readDouble(in);
         f.proxies = static_cast<std::uint32_t>(in.var());
--- a/src/decisions/recovery/memory.cpp
+++ b/src/decisions/recovery/coordinator.cpp
@@ -1,4 +1,4 @@
-#include "recovery/memory.h"
+#include "recovery/coordinator.h"
 
 #include <algorithm>
 #include <utility>
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Memory::Memory(const MemorySettings& settings, Micros now)
+Coordinator::Coordinator(const CoordinatorSettings& settings, Micros now)
     : share_(settings.share),
       copyHolds_(settings.ask.copyHolds),
       knowledge_(settings.self, settings.incarnation, settings.knowledge),
@@ -36,33 +36,34 @@
     }
 }
 
-void Memory::connect(const std::string& address) {
+void Coordinator::connect(const std::string& address) {
     connected_ = share_;
     peers_.reachedAt(address);
 }
 
-void Memory::listed(std::uint64_t version, const std::map<std::string, Knowledge::Listed>& all, Micros now) {
-    knowledge_.listSays(version, all, now);
+void Coordinator::updateList(std::uint64_t version, const std::map<std::string, Knowledge::ListedServer>& all,
+                             Micros now) {
+    knowledge_.updateList(version, all, now);
     fresh_ = true;
 }
 
-void Memory::left(std::uint32_t proxy) {
+void Coordinator::proxyLeft(std::uint32_t proxy) {
     zones_.erase(proxy);
     knowledge_.left(proxy);
 }
 
-void Memory::came(std::uint32_t proxy, const std::string& klass, double rate, Micros now) {
+void Coordinator::came(std::uint32_t proxy, const std::string& klass, double rate, Micros now) {
     const auto zone = zones_.find(proxy);
     if (zone != zones_.end()) knowledge_.came(proxy, zone->second, klass, rate, now);
 }
 
-MergeCounts Memory::recall(const Handover& handover, Micros age, Micros now) {
+MergeCounts Coordinator::mergeSnapshot(const Handover& handover, Micros age, Micros now) {
     fresh_ = true;
     return knowledge_.merge(handover, age, now);
 }
 
-void Memory::answered(const std::string& peer, const std::optional<Handover>& handover, Micros transit,
-                      const std::string& wrong, Micros now) {
+void Coordinator::answered(const std::string& peer, const std::optional<Handover>& handover, Micros transit,
+                           const std::string& wrong, Micros now) {
     if (!asking_.awaits(peer)) return;
     if (!handover) {
         asking_.failed(peer, now);
@@ -78,15 +79,16 @@
                      " known already, " + std::to_string(counts.refused) + " refused");
 }
 
-void Memory::heard(const membership::PeerMessage& message, Micros now) {
+void Coordinator::heard(const membership::PeerMessage& message, Micros now) {
     for (auto& answer : peers_.received(message, now)) answers_.push_back(std::move(answer));
 }
 
 // What was told already is not told again: of a sum that has grown the rest goes.
-void Memory::tellSums(Micros now, MemoryActions& out) {
+void Coordinator::tellSums(Micros now, CoordinatorActions& out) {
     for (const RecalledSum& sum : knowledge_.recalled(now)) {
         RecalledSum& before =
-            told_.try_emplace({sum.box, sum.zone}, RecalledSum{sum.box, sum.zone, 0, 0, 0}).first->second;
+            told_.try_emplace({sum.server, sum.zone}, RecalledSum{sum.server, sum.zone, 0, 0, 0})
+                .first->second;
         RecalledSum more = sum;
         more.tries -= before.tries;
         if (more.tries < 1) continue;
@@ -97,18 +99,18 @@
     }
 }
 
-void Memory::tellHolds(Micros now, MemoryActions& out) {
+void Coordinator::tellHolds(Micros now, CoordinatorActions& out) {
     std::set<std::string> held = knowledge_.heldBack(now);
-    for (const std::string& box : held) {
-        if (held_.count(box) == 0) out.holds.push_back({box, true});
+    for (const std::string& server : held) {
+        if (held_.count(server) == 0) out.holds.push_back({server, true});
     }
-    for (const std::string& box : held_) {
-        if (held.count(box) == 0) out.holds.push_back({box, false});
+    for (const std::string& server : held_) {
+        if (held.count(server) == 0) out.holds.push_back({server, false});
     }
     held_ = std::move(held);
 }
 
-void Memory::tellPeers(Micros now, MemoryActions& out) {
+void Coordinator::tellPeers(Micros now, CoordinatorActions& out) {
     if (!connected_) return;
     for (auto& message : peers_.tick(now)) out.say.push_back(std::move(message));
     for (const PeerEvent& event : peers_.takeEvents()) {
@@ -118,8 +120,8 @@
     for (const std::string& peer : asking_.due(now)) out.ask.push_back({peer, peers_.addressOf(peer)});
 }
 
-MemoryActions Memory::due(Micros now) {
-    MemoryActions out;
+CoordinatorActions Coordinator::due(Micros now) {
+    CoordinatorActions out;
     out.say = std::exchange(answers_, {});
     out.lines = std::exchange(lines_, {});
     tellPeers(now, out);
@@ -128,7 +130,7 @@
     return out;
 }
 
-std::optional<Micros> Memory::nextDue(Micros now) const {
+std::optional<Micros> Coordinator::nextDue(Micros now) const {
     if (fresh_ || !answers_.empty() || !lines_.empty()) return now;
     std::optional<Micros> out;
     const auto sooner = [&](std::optional<Micros> at) {
@@ -142,7 +144,7 @@
     return out;
 }
 
-std::vector<membership::PeerMessage> Memory::leave(Micros now) {
+std::vector<membership::PeerMessage> Coordinator::leave(Micros now) {
     return connected_ ? peers_.leave(now) : std::vector<membership::PeerMessage>{};
 }
 
--- a/src/decisions/recovery/memory.h
+++ b/src/decisions/recovery/coordinator.h
@@ -9,14 +9,14 @@
 #include <vector>
 
 #include "membership/peers.h"
-#include "recovery/asking.h"
 #include "recovery/knowledge.h"
+#include "recovery/peer_queries.h"
 
 namespace marldale::recovery {
 
 using membership::PeerPlace;
 
-struct MemorySettings {
+struct CoordinatorSettings {
     std::string self;
     bool share = false;  // there are peers: they are asked, and who of them is there is watched
     std::uint64_t incarnation = 0;
@@ -29,13 +29,13 @@
 
 // A box that our list has ready, and that is withdrawn all the same, or let back.
 struct Hold {
-    std::string box;
+    std::string server;
     bool held = false;
     bool operator==(const Hold&) const = default;
 };
 
 // What is to be done now.
-struct MemoryActions {
+struct CoordinatorActions {
     std::vector<Hold> holds;        // to the module, before the sums
     std::vector<RecalledSum> sums;  // to the module
     std::vector<PeerPlace> ask;     // what they know
@@ -46,9 +46,9 @@
     }
 };
 
-class Memory {
+class Coordinator {
 public:
-    Memory(const MemorySettings& settings, Micros now);
+    Coordinator(const CoordinatorSettings& settings, Micros now);
 
     // From here on peers can be reached, and reach us at this address.
     void connect(const std::string& address);
@@ -56,14 +56,17 @@
 
     // ---- What comes ----
 
-    void listed(std::uint64_t version, const std::map<std::string, Knowledge::Listed>& all, Micros now);
-    void saw(const Sight& sight, Micros now) { knowledge_.saw(sight, now); }
-    void joined(std::uint32_t proxy, const std::string& zone) { zones_[proxy] = zone; }
-    void left(std::uint32_t proxy);
+    void updateList(std::uint64_t version, const std::map<std::string, Knowledge::ListedServer>& all,
+                    Micros now);
+    void recordOutcomes(const OutcomeObservation& sight, Micros now) {
+        knowledge_.recordOutcomes(sight, now);
+    }
+    void proxyJoined(std::uint32_t proxy, const std::string& zone) { zones_[proxy] = zone; }
+    void proxyLeft(std::uint32_t proxy);
     void came(std::uint32_t proxy, const std::string& klass, double rate, Micros now);
 
     // A snapshot of an earlier life, at the start.
-    MergeCounts recall(const Handover& handover, Micros age, Micros now);
+    MergeCounts mergeSnapshot(const Handover& handover, Micros age, Micros now);
     // A peer's answer; nothing if it sent none that could be read, and why. What nobody asked for is dropped.
     void answered(const std::string& peer, const std::optional<Handover>& handover, Micros transit,
                   const std::string& wrong, Micros now);
@@ -72,7 +75,7 @@
 
     // ---- What is to be done ----
 
-    [[nodiscard]] MemoryActions due(Micros now);
+    [[nodiscard]] CoordinatorActions due(Micros now);
     [[nodiscard]] std::optional<Micros> nextDue(Micros now) const;
     // The last words of an instance that ends in order.
     [[nodiscard]] std::vector<membership::PeerMessage> leave(Micros now);
@@ -88,9 +91,9 @@
     [[nodiscard]] bool asking(Micros now) const { return !asking_.over(now); }
 
 private:
-    void tellSums(Micros now, MemoryActions& out);
-    void tellHolds(Micros now, MemoryActions& out);
-    void tellPeers(Micros now, MemoryActions& out);
+    void tellSums(Micros now, CoordinatorActions& out);
+    void tellHolds(Micros now, CoordinatorActions& out);
+    void tellPeers(Micros now, CoordinatorActions& out);
 
     const bool share_;
     const Micros copyHolds_;
@@ -99,7 +102,7 @@
     Asking asking_;
     membership::Peers peers_;
     std::map<std::uint32_t, std::string> zones_;                       // of our proxies
-    std::map<std::pair<std::string, std::string>, RecalledSum> told_;  // by box and zone
+    std::map<std::pair<std::string, std::string>, RecalledSum> told_;  // by server and zone
     std::set<std::string> held_;
     std::vector<membership::PeerMessage> answers_;
     std::vector<std::string> lines_;
--- a/src/decisions/recovery/knowledge.cpp
+++ b/src/decisions/recovery/knowledge.cpp
@@ -43,10 +43,10 @@
     if (load.empty()) load = other.load;
 }
 
-void Knowledge::saw(const Sight& sight, Micros now) {
+void Knowledge::recordOutcomes(const OutcomeObservation& sight, Micros now) {
     if (sight.tries == 0) return;
     origins_.insert(self_);
-    const Place place{sight.box, sight.zone, self_};
+    const Place place{sight.server, sight.zone, self_};
     Held row{sight.bootMs,
              {incarnation_, 0},
              now,
@@ -57,7 +57,7 @@
              sight.load};
     if (row.fails()) row.failsSince = now;
     const auto known = sums_.find(place);
-    if (known == sums_.end() || known->second.word.incarnation != incarnation_ ||
+    if (known == sums_.end() || known->second.version.incarnation != incarnation_ ||
         known->second.bootMs != sight.bootMs) {
         otherwise_.erase(place);  // the first row of this life
     } else if (known->second.fails() == row.fails()) {
@@ -78,7 +78,7 @@
         otherwise_.erase(place);
         if (row.fails() == known->second.fails()) return;
     }
-    row.word.number = ++number_;
+    row.version.number = ++number_;
     (void)take(place, std::move(row));
 }
 
@@ -106,7 +106,7 @@
     for (auto& [key, fact] : all) {
         std::tie(fact.zone, fact.klass) = key;
         fact.origin = self_;
-        fact.word = {incarnation_, static_cast<std::uint64_t>(now - fact.age)};
+        fact.version = {incarnation_, static_cast<std::uint64_t>(now - fact.age)};
         out.push_back(std::move(fact));
     }
     return out;
@@ -121,12 +121,12 @@
         return true;
     }
     Held& has = known->second;
-    if (held.word > has.word) {
+    if (held.version > has.version) {
         has = std::move(held);
         return true;
     }
     // The same word by another way: it is as old as its older copy.
-    if (held.word == has.word && held.born < has.born) {
+    if (held.version == has.version && held.born < has.born) {
         has.born = held.born;
         if (held.failsSince)
             has.failsSince = std::min(has.failsSince.value_or(*held.failsSince), *held.failsSince);
@@ -136,7 +136,7 @@
 }
 
 bool Knowledge::sane(const SumFact& fact) const {
-    return isName(fact.origin) && isName(fact.box) && isName(fact.zone) && fact.age >= 0 &&
+    return isName(fact.origin) && isName(fact.server) && isName(fact.zone) && fact.age >= 0 &&
            fact.age <= rules_.ageMost && fact.tries > 0 && fact.tries <= kTriesMost &&
            fact.failed <= fact.tries && fact.mean >= 0 && fact.mean <= kMeanMost && fact.bootMs >= 0 &&
            fact.failsFor >= 0 && fact.failsFor <= kSinceMost && fact.load.size() <= rules_.loadsMost;
@@ -148,7 +148,7 @@
 }
 
 // Nobody tells us what we ourselves have seen in this life: it could only be older, or made up.
-bool Knowledge::admits(const std::string& origin, const Word& word) {
+bool Knowledge::admits(const std::string& origin, const FactVersion& word) {
     if (origin == self_ && word.incarnation >= incarnation_) return false;
     if (origins_.count(origin) != 0) return true;
     if (origins_.size() >= rules_.originsMost) return false;
@@ -160,12 +160,12 @@
     MergeCounts out;
     const Micros way = std::max<Micros>(transit, 0);
     for (const SumFact& fact : handover.sums) {
-        if (!sane(fact) || !admits(fact.origin, fact.word)) {
+        if (!sane(fact) || !admits(fact.origin, fact.version)) {
             ++out.refused;
             continue;
         }
         Held held{fact.bootMs,
-                  fact.word,
+                  fact.version,
                   now - fact.age - way,
                   static_cast<double>(fact.tries),
                   static_cast<double>(fact.failed),
@@ -173,7 +173,7 @@
                   std::nullopt,
                   fact.load};
         if (fact.failsFor > 0) held.failsSince = now - fact.failsFor - way;
-        ++(take({fact.box, fact.zone, fact.origin}, std::move(held)) ? out.taken : out.known);
+        ++(take({fact.server, fact.zone, fact.origin}, std::move(held)) ? out.taken : out.known);
     }
     for (const ListedFact& fact : handover.listed) mergeListed(fact, way, now, out);
     for (const DemandFact& fact : handover.demand) mergeDemand(fact, way, now, out);
@@ -181,7 +181,7 @@
 }
 
 void Knowledge::mergeListed(const ListedFact& fact, Micros transit, Micros now, MergeCounts& out) {
-    if (!isName(fact.box) || fact.bootMs < 0 || fact.since < 0 || fact.since > kSinceMost) {
+    if (!isName(fact.server) || fact.bootMs < 0 || fact.since < 0 || fact.since > kSinceMost) {
         ++out.refused;
         return;
     }
@@ -189,7 +189,7 @@
         ++out.known;
         return;
     }
-    const auto known = others_.find(fact.box);
+    const auto known = others_.find(fact.server);
     if (known == others_.end() && others_.size() >= rules_.boxesMost) {
         ++out.refused;
         return;
@@ -200,7 +200,7 @@
         return std::tuple(f.version, carefulness(f.state), f.bootMs);
     };
     if (known == others_.end()) {
-        others_[fact.box] = {std::move(mine), now};
+        others_[fact.server] = {std::move(mine), now};
     } else if (rank(fact) > rank(known->second.fact)) {
         known->second.fact = std::move(mine);  // the first word of a newer list began the hold
     }
@@ -210,17 +210,17 @@
 void Knowledge::mergeDemand(const DemandFact& fact, Micros transit, Micros now, MergeCounts& out) {
     const bool room =
         demand_.size() < rules_.factsMost || demand_.count({fact.zone, fact.klass, fact.origin}) != 0;
-    if (!sane(fact) || !room || !admits(fact.origin, fact.word)) {
+    if (!sane(fact) || !room || !admits(fact.origin, fact.version)) {
         ++out.refused;
         return;
     }
     HeldDemand& has = demand_.try_emplace({fact.zone, fact.klass, fact.origin}).first->second;
     const Micros born = now - fact.age - transit;
-    if (fact.word > has.word) {
-        has = {fact.word, born, fact.rate, fact.proxies};
+    if (fact.version > has.version) {
+        has = {fact.version, born, fact.rate, fact.proxies};
         ++out.taken;
     } else {
-        if (fact.word == has.word) has.born = std::min(has.born, born);
+        if (fact.version == has.version) has.born = std::min(has.born, born);
         ++out.known;
     }
 }
@@ -229,39 +229,40 @@
     Handover out;
     out.from = self_;
     for (const auto& [place, held] : sums_) {
-        const auto& [box, zone, origin] = place;
+        const auto& [server, zone, origin] = place;
         const Micros age = now - held.born;
         if (age > rules_.ageMost || weightOf(held.tries, age) < 1) continue;
         const auto tries = static_cast<std::uint32_t>(std::llround(held.tries));
         const auto failed = static_cast<std::uint32_t>(std::llround(held.failed));
         const Micros failsFor = held.failsSince ? std::max<Micros>(now - *held.failsSince, 1) : 0;
-        out.sums.push_back({origin, box, zone, held.bootMs, held.word, std::max<Micros>(age, 0), tries,
+        out.sums.push_back({origin, server, zone, held.bootMs, held.version, std::max<Micros>(age, 0), tries,
                             std::min(failed, tries), held.mean, std::min(failsFor, kSinceMost), held.load});
     }
-    for (const auto& [box, own] : list_) {
+    for (const auto& [server, own] : list_) {
         const Micros since = std::clamp<Micros>(now - own.since, 0, kSinceMost);
-        out.listed.push_back({box, version_, own.listed.state, own.listed.bootMs, since});
+        out.listed.push_back({server, version_, own.listed.state, own.listed.bootMs, since});
     }
     // What newer lists than ours said goes on too, under their version.
-    for (const auto& [box, claim] : others_) out.listed.push_back(claim.fact);
+    for (const auto& [server, claim] : others_) out.listed.push_back(claim.fact);
     out.demand = ownDemand(now);
     for (const auto& [place, held] : demand_) {
         const Micros age = std::max<Micros>(0, now - held.born);
         if (age > rules_.demandHolds) continue;
-        out.demand.push_back({std::get<2>(place), std::get<0>(place), std::get<1>(place), held.word, age,
+        out.demand.push_back({std::get<2>(place), std::get<0>(place), std::get<1>(place), held.version, age,
                               held.rate, held.proxies});
     }
     return out;
 }
 
-void Knowledge::listSays(std::uint64_t version, const std::map<std::string, Listed>& all, Micros now) {
+void Knowledge::updateList(std::uint64_t version, const std::map<std::string, ListedServer>& all,
+                           Micros now) {
     version_ = std::max(version_, version);
     std::map<std::string, Own> next;
-    for (const auto& [box, listed] : all) {
-        const auto before = list_.find(box);
+    for (const auto& [server, listed] : all) {
+        const auto before = list_.find(server);
         const bool same = before != list_.end() && before->second.listed.state == listed.state &&
                           before->second.listed.bootMs == listed.bootMs;
-        next[box] = {listed, same ? before->second.since : now};
+        next[server] = {listed, same ? before->second.since : now};
     }
     list_ = std::move(next);
     std::erase_if(others_, [this](const auto& o) { return o.second.fact.version <= version_; });
@@ -287,16 +288,16 @@
         if (last.tries < 1) out.pop_back();
     };
     for (const auto& [place, held] : sums_) {
-        const auto& [box, zone, origin] = place;
-        const auto at = list_.find(box);
+        const auto& [server, zone, origin] = place;
+        const auto at = list_.find(server);
         if (at == list_.end() || at->second.listed.state != ServerState::ready ||
-            at->second.listed.bootMs != held.bootMs || seenLive(box, zone))
+            at->second.listed.bootMs != held.bootMs || seenLive(server, zone))
             continue;
         const double weight = weightOf(held.tries, now - held.born);
         if (weight <= 0) continue;
-        if (out.empty() || out.back().box != box || out.back().zone != zone) {
+        if (out.empty() || out.back().server != server || out.back().zone != zone) {
             close();
-            out.push_back({box, zone, 0, 0, 0});
+            out.push_back({server, zone, 0, 0, 0});
         }
         const double share = weight / held.tries;
         out.back().tries += weight;
@@ -307,22 +308,22 @@
     return out;
 }
 
-bool Knowledge::seenLive(const std::string& box, const std::string& zone) const {
-    const auto own = sums_.find({box, zone, self_});
-    return own != sums_.end() && own->second.word.incarnation == incarnation_;
+bool Knowledge::seenLive(const std::string& server, const std::string& zone) const {
+    const auto own = sums_.find({server, zone, self_});
+    return own != sums_.end() && own->second.version.incarnation == incarnation_;
 }
 
 std::set<std::string> Knowledge::heldBack(Micros now) const {
     std::set<std::string> out;
     std::size_t ready = 0;
-    for (const auto& [box, own] : list_) {
+    for (const auto& [server, own] : list_) {
         if (own.listed.state != ServerState::ready) continue;
         ++ready;
-        const auto other = others_.find(box);
+        const auto other = others_.find(server);
         if (other == others_.end() || now - other->second.heard >= rules_.holdMost) continue;
         const ListedFact& fact = other->second.fact;
         // Of an earlier boot than our list has it says nothing of this life.
-        if (fact.state != ServerState::ready && fact.bootMs >= own.listed.bootMs) out.insert(box);
+        if (fact.state != ServerState::ready && fact.bootMs >= own.listed.bootMs) out.insert(server);
     }
     if (out.size() == ready) out.clear();
     return out;
--- a/src/decisions/recovery/knowledge.h
+++ b/src/decisions/recovery/knowledge.h
@@ -18,29 +18,29 @@
 namespace marldale::recovery {
 
 // Whose sight, and which of its words. `incarnation`: new with each start of the origin.
-struct Word {
+struct FactVersion {
     std::uint64_t incarnation = 0, number = 0;
-    auto operator<=>(const Word&) const = default;
+    auto operator<=>(const FactVersion&) const = default;
 };
 
 // What an origin's proxies of a zone met at a box, of late: a box that is ejected has few tries, so evidence
 // is counted in tries, not in seconds. A few tries in a row that tell otherwise begin a new sum.
 struct SumFact {
-    std::string origin, box, zone;
+    std::string origin, server, zone;
     std::int64_t bootMs = 0;  // as the list has it
-    Word word;
+    FactVersion version;
     Micros age = 0;  // of its last row
     std::uint32_t tries = 0, failed = 0;
     Micros mean = 0;      // of those that did not fail
     Micros failsFor = 0;  // how long half of its tries or more have failed; 0: they do not
-    std::map<std::string, double> load = {};  // the box's last word on itself, by the name of the value
+    std::map<std::string, double> load = {};  // the server's last word on itself, by the name of the value
     bool operator==(const SumFact&) const = default;
 };
 
 // Requests of a class that came to an origin's proxies of a zone.
 struct DemandFact {
     std::string origin, zone, klass;
-    Word word;
+    FactVersion version;
     Micros age = 0;
     double rate = 0;  // a second
     std::uint32_t proxies = 0;
@@ -49,7 +49,7 @@
 
 // What an origin's list said of a box. The list's versions are discovery's, the same for everybody.
 struct ListedFact {
-    std::string box;
+    std::string server;
     std::uint64_t version = 0;
     ServerState state = ServerState::ready;
     std::int64_t bootMs = 0;
@@ -72,7 +72,7 @@
     double proofTries = 4;                // so many in a row that tell otherwise begin a new sum
     Micros demandHolds = 30 * 1000000LL;  // after a proxy's last word
     Micros holdMost = 60 * 1000000LL;  // no list is so late: a newer one that has not come by then never was
-    double allOriginsMost = 128;       // of a box and zone
+    double allOriginsMost = 128;       // of a server and zone
     Micros ageMost = 600 * 1000000LL;
     std::size_t factsMost = 65536, originsMost = 32, boxesMost = 8192, loadsMost = 16;
 };
@@ -83,14 +83,14 @@
 
 // A sum as the module may be told it: aged, all origins together.
 struct RecalledSum {
-    std::string box, zone;
+    std::string server, zone;
     double tries = 0, failed = 0;
     Micros mean = 0;
 };
 
 // A row of a report, as it is seen.
-struct Sight {
-    std::string box, zone;
+struct OutcomeObservation {
+    std::string server, zone;
     std::int64_t bootMs = 0;
     std::uint32_t tries = 0, failed = 0;
     Micros mean = 0;
@@ -102,16 +102,16 @@
     Knowledge(std::string self, std::uint64_t incarnation, KnowledgeRules rules = {});
 
     // Own sight, of just now.
-    void saw(const Sight& sight, Micros now);
+    void recordOutcomes(const OutcomeObservation& sight, Micros now);
     void came(std::uint32_t proxy, const std::string& zone, const std::string& klass, double rate,
               Micros now);
     void left(std::uint32_t proxy);
     // Our own list: what it names is there, with this boot and state; what it does not name is not.
-    struct Listed {
+    struct ListedServer {
         ServerState state = ServerState::ready;
         std::int64_t bootMs = 0;
     };
-    void listSays(std::uint64_t version, const std::map<std::string, Listed>& all, Micros now);
+    void updateList(std::uint64_t version, const std::map<std::string, ListedServer>& all, Micros now);
 
     // `transit`: the whole time from asking to having it, by our clock.
     MergeCounts merge(const Handover& handover, Micros transit, Micros now);
@@ -134,10 +134,10 @@
     [[nodiscard]] std::uint64_t listVersion() const { return version_; }
 
 private:
-    using Place = std::tuple<std::string, std::string, std::string>;  // box, zone, origin
+    using Place = std::tuple<std::string, std::string, std::string>;  // server, zone, origin
     struct Held {
         std::int64_t bootMs = 0;
-        Word word;
+        FactVersion version;
         Micros born = 0;  // in our steady time, as `failsSince`
         double tries = 0, failed = 0;
         Micros mean = 0;
@@ -147,7 +147,7 @@
         void add(const Held& other, double share);
     };
     struct HeldDemand {
-        Word word;
+        FactVersion version;
         Micros born = 0;
         double rate = 0;
         std::uint32_t proxies = 0;
@@ -157,7 +157,7 @@
         Micros heard = 0;
     };
     struct Own {
-        Listed listed;
+        ListedServer listed;
         Micros since = 0;
     };
     struct Came {
@@ -167,11 +167,11 @@
     };
     [[nodiscard]] bool sane(const SumFact& fact) const;
     [[nodiscard]] bool sane(const DemandFact& fact) const;
-    [[nodiscard]] bool admits(const std::string& origin, const Word& word);
+    [[nodiscard]] bool admits(const std::string& origin, const FactVersion& word);
     [[nodiscard]] bool take(const Place& place, Held held);
     void mergeDemand(const DemandFact& fact, Micros transit, Micros now, MergeCounts& out);
     void mergeListed(const ListedFact& fact, Micros transit, Micros now, MergeCounts& out);
-    [[nodiscard]] bool seenLive(const std::string& box, const std::string& zone) const;
+    [[nodiscard]] bool seenLive(const std::string& server, const std::string& zone) const;
     [[nodiscard]] std::vector<DemandFact> ownDemand(Micros now) const;
 
     const std::string self_;
--- a/src/decisions/recovery/asking.cpp
+++ b/src/decisions/recovery/peer_queries.cpp
@@ -1,4 +1,4 @@
-#include "recovery/asking.h"
+#include "recovery/peer_queries.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/lab/emulator/instance.cpp
+++ b/src/lab/emulator/instance.cpp
@@ -73,7 +73,7 @@
       skew_(start.skew),
       memory_(
           [&] {
-              recovery::MemorySettings out;
+              recovery::CoordinatorSettings out;
               out.self = config_.name;
               out.incarnation = start.incarnation;
               return out;
@@ -125,9 +125,9 @@
         if (entry.state != ServerState::gone) list_[entry.uid] = entry;
     }
     version_ = news.rev;
-    std::map<std::string, recovery::Knowledge::Listed> all;
+    std::map<std::string, recovery::Knowledge::ListedServer> all;
     for (const auto& [uid, entry] : list_) all[uid] = {entry.state, entry.bootUs / 1000};
-    memory_.listed(version_, all, now);
+    memory_.updateList(version_, all, now);
 }
 
 void Instance::hear(const ListedNews& news, Micros now) {
@@ -144,14 +144,14 @@
 
 void Instance::joined(std::uint32_t relay, std::uint32_t zone, double rate, bool fresh) {
     book_.joined(relay);
-    memory_.joined(relay, scenario_.fleet.zones[zone]);
+    memory_.proxyJoined(relay, scenario_.fleet.zones[zone]);
     inputs_.emplace_back(protocol::News{
         protocol::Hello{static_cast<ProxyId>(relay), scenario_.fleet.zones[zone], rate, fresh}});
 }
 
 void Instance::left(std::uint32_t relay) {
     book_.left(relay);
-    memory_.left(relay);
+    memory_.proxyLeft(relay);
     inputs_.emplace_back(protocol::News{protocol::Bye{static_cast<ProxyId>(relay)}});
 }
 
@@ -172,8 +172,8 @@
         const double values[] = {s.load.inflight, s.load.queue, s.load.util, s.load.latencyMs};
         for (std::size_t i = 0; i < std::size(values); ++i) row.load[kLoadFields[i]] = values[i];
         if (const auto box = list_.find(row.server); box != list_.end() && row.tries > 0) {
-            memory_.saw({row.server, row.zone, box->second.bootUs / 1000, row.tries, row.failed, row.meanUs},
-                        now);
+            memory_.recordOutcomes(
+                {row.server, row.zone, box->second.bootUs / 1000, row.tries, row.failed, row.meanUs}, now);
         }
         inputs_.emplace_back(protocol::Report{std::move(row)});
     }
@@ -189,13 +189,13 @@
 }
 
 void Instance::recall(const recovery::Handover& handover, Micros age, Micros now) {
-    (void)memory_.recall(handover, age, now);
-    const recovery::MemoryActions todo = memory_.due(now);
+    (void)memory_.mergeSnapshot(handover, age, now);
+    const recovery::CoordinatorActions todo = memory_.due(now);
     routing::ListInput holds;
     holds.cached = true;
     holds.news.rev = version_;
     for (const recovery::Hold& hold : todo.holds) {
-        const auto at = list_.find(hold.box);
+        const auto at = list_.find(hold.server);
         if (at == list_.end()) continue;
         holds.news.entries.push_back(at->second);
         if (hold.held) holds.news.entries.back().state = ServerState::draining;
@@ -204,7 +204,7 @@
     for (const recovery::RecalledSum& r : todo.sums) {
         protocol::Outcomes row;
         row.zone = r.zone;
-        row.server = r.box;
+        row.server = r.server;
         row.tries = static_cast<std::uint32_t>(r.tries);
         row.failed = std::min(row.tries, static_cast<std::uint32_t>(r.failed + 0.5));
         row.meanUs = row.failed < row.tries ? r.mean : 0;
--- a/src/lab/emulator/instance.h
+++ b/src/lab/emulator/instance.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "emulator/planner_link.h"
-#include "recovery/memory.h"
+#include "recovery/coordinator.h"
 #include "routing/planner_core.h"
 
 namespace marldale::emulator {
@@ -43,7 +43,7 @@
     const Scenario& scenario_;
     const protocol::Config config_;
     const Micros skew_;  // of its clock
-    recovery::Memory memory_;
+    recovery::Coordinator memory_;
     std::map<std::string, protocol::CatalogEntry> list_;
     std::uint64_t version_ = 0;
     Book book_;
--- a/src/lab/trace_program/knowledge_commands.cpp
+++ b/src/lab/trace_program/knowledge_commands.cpp
@@ -32,7 +32,7 @@
 using Key = std::tuple<std::string, std::string, std::string>;  // box, zone, origin
 std::map<Key, SumFact> byKey(const Snapshot& snapshot) {
     std::map<Key, SumFact> out;
-    for (const SumFact& f : snapshot.handover.sums) out[{f.box, f.zone, f.origin}] = f;
+    for (const SumFact& f : snapshot.handover.sums) out[{f.server, f.zone, f.origin}] = f;
     return out;
 }
 
@@ -49,14 +49,14 @@
                            {"demand", nlohmann::json::array()},
                            {"sums", nlohmann::json::array()}};
         for (const auto& l : snapshot.handover.listed) {
-            out["boxes"].push_back({{"box", l.box},
+            out["boxes"].push_back({{"box", l.server},
                                     {"state", name(l.state)},
                                     {"version", l.version},
                                     {"boot_ms", l.bootMs},
                                     {"since_s", seconds(l.since)}});
         }
         for (const SumFact& f : snapshot.handover.sums) {
-            out["sums"].push_back({{"box", f.box},
+            out["sums"].push_back({{"box", f.server},
                                    {"zone", f.zone},
                                    {"origin", f.origin},
                                    {"age_s", seconds(f.age)},
@@ -81,15 +81,15 @@
                 snapshot.handover.listed.size(), snapshot.handover.sums.size());
     for (const auto& l : snapshot.handover.listed) {
         if (l.state != ServerState::ready) {
-            std::printf("  %s is %s by version %llu, since %.0f s before\n", l.box.c_str(), name(l.state),
+            std::printf("  %s is %s by version %llu, since %.0f s before\n", l.server.c_str(), name(l.state),
                         static_cast<unsigned long long>(l.version), seconds(l.since));
         }
     }
     std::printf("%-24s %-12s %-12s %8s %8s %8s %10s %10s\n", "box", "from zone", "seen by", "age s", "tries",
                 "failed", "mean ms", "fails for");
     for (const SumFact& f : snapshot.handover.sums) {
-        std::printf("%-24s %-12s %-12s %8.1f %8u %8u %10.1f", f.box.c_str(), f.zone.c_str(), f.origin.c_str(),
-                    seconds(f.age), f.tries, f.failed, static_cast<double>(f.mean) / 1000);
+        std::printf("%-24s %-12s %-12s %8.1f %8u %8u %10.1f", f.server.c_str(), f.zone.c_str(),
+                    f.origin.c_str(), seconds(f.age), f.tries, f.failed, static_cast<double>(f.mean) / 1000);
         std::printf(f.failsFor > 0 ? " %8.0f s\n" : "\n", seconds(f.failsFor));
     }
     if (!snapshot.handover.demand.empty()) {
@@ -108,12 +108,12 @@
     std::size_t differ = 0;
     const auto line = [&](char sign, const SumFact& f) {
         ++differ;
-        std::printf("%c %-24s %-12s %-12s %8u tries, %u failed, %.1f ms\n", sign, f.box.c_str(),
+        std::printf("%c %-24s %-12s %-12s %8u tries, %u failed, %.1f ms\n", sign, f.server.c_str(),
                     f.zone.c_str(), f.origin.c_str(), f.tries, f.failed, static_cast<double>(f.mean) / 1000);
     };
     for (const auto& [key, fact] : one) {
         const auto other = two.find(key);
-        if (other != two.end() && other->second.word == fact.word) continue;
+        if (other != two.end() && other->second.version == fact.version) continue;
         line('-', fact);
         if (other != two.end()) line('+', other->second);
     }
--- a/src/planner/knowledge/keeper.cpp
+++ b/src/planner/knowledge/keeper.cpp
@@ -7,7 +7,7 @@
 #include <thread>
 #include <utility>
 
-#include "recovery/memory.h"
+#include "recovery/coordinator.h"
 #include "recovery/snapshot.h"
 #include "routing/keeper.h"
 
@@ -27,8 +27,8 @@
         .count();
 }
 
-MemorySettings memoryOf(const routing::KeeperSettings& settings, const routing::KeeperHost& host) {
-    MemorySettings out;
+CoordinatorSettings memoryOf(const routing::KeeperSettings& settings, const routing::KeeperHost& host) {
+    CoordinatorSettings out;
     out.self = host.name;
     out.incarnation = static_cast<std::uint64_t>(wallNow());
     out.seed = host.seed ^ out.incarnation;
@@ -158,7 +158,7 @@
             return;
         }
         const std::lock_guard lock(mutex_);
-        const MergeCounts counts = memory_.recall(snapshot->handover, *age, now);
+        const MergeCounts counts = memory_.mergeSnapshot(snapshot->handover, *age, now);
         host_.log("knowledge", "a snapshot of " + snapshot->handover.from + ", " +
                                    std::to_string(*age / 1000000) +
                                    " s old: " + std::to_string(counts.taken) + " facts taken, " +
@@ -175,14 +175,14 @@
             }
         }
         rev_ = std::max(rev_, news.rev);
-        std::map<std::string, Knowledge::Listed> all;
+        std::map<std::string, Knowledge::ListedServer> all;
         for (const auto& [uid, entry] : list_) all[uid] = {entry.state, entry.bootUs / 1000};
-        memory_.listed(rev_, all, now);
+        memory_.updateList(rev_, all, now);
     }
     void hear(const protocol::News& news) {
         if (const auto* hello = std::get_if<protocol::Hello>(&news))
-            memory_.joined(hello->proxy, hello->zone);
-        if (const auto* bye = std::get_if<protocol::Bye>(&news)) memory_.left(bye->proxy);
+            memory_.proxyJoined(hello->proxy, hello->zone);
+        if (const auto* bye = std::get_if<protocol::Bye>(&news)) memory_.proxyLeft(bye->proxy);
     }
     void hear(const protocol::Report& report, Micros now) {
         if (const auto* demand = std::get_if<protocol::Demand>(&report)) {
@@ -193,21 +193,21 @@
         }
         const auto* row = std::get_if<protocol::Outcomes>(&report);
         if (row == nullptr || row->tries == 0 || !protocol::isSound(*row)) return;
-        const auto box = list_.find(row->server);
-        if (box == list_.end()) return;
-        memory_.saw({row->server,
-                     row->zone,
-                     box->second.bootUs / 1000,
-                     row->tries,
-                     row->failed,
-                     row->meanUs,
-                     {row->load.begin(), row->load.end()}},
-                    now);
+        const auto server = list_.find(row->server);
+        if (server == list_.end()) return;
+        memory_.recordOutcomes({row->server,
+                                row->zone,
+                                server->second.bootUs / 1000,
+                                row->tries,
+                                row->failed,
+                                row->meanUs,
+                                {row->load.begin(), row->load.end()}},
+                               now);
     }
 
     // What the memory asks for. Peers are spoken to outside of the lock: they answer on threads that take it.
     void act(Micros now) {
-        MemoryActions todo;
+        CoordinatorActions todo;
         routing::PeerLink* link = nullptr;
         {
             const std::lock_guard lock(mutex_);
@@ -230,13 +230,13 @@
         if (link != nullptr && !address.empty()) link->say({message.to, address}, message);
     }
     // Holds first: a sum says nothing of a box that is not ready.
-    void tell(const MemoryActions& todo) {
+    void tell(const CoordinatorActions& todo) {
         routing::ListInput holds;
         holds.cached = true;  // of the version that stands already
         holds.news.rev = rev_;
         std::size_t held = 0;
         for (const Hold& hold : todo.holds) {
-            const auto at = list_.find(hold.box);
+            const auto at = list_.find(hold.server);
             if (at == list_.end()) continue;
             holds.news.entries.push_back(at->second);
             if (!hold.held) continue;
@@ -248,7 +248,7 @@
         for (const RecalledSum& r : todo.sums) {
             protocol::Outcomes row;
             row.zone = r.zone;
-            row.server = r.box;
+            row.server = r.server;
             row.tries = static_cast<std::uint32_t>(r.tries);
             row.failed = std::min(row.tries, static_cast<std::uint32_t>(r.failed + 0.5));
             row.meanUs = row.failed < row.tries ? r.mean : 0;
@@ -328,7 +328,7 @@
     const routing::KeeperSettings settings_;
     const routing::KeeperHost host_;
     std::mutex mutex_;
-    Memory memory_;  // behind it, as is what follows
+    Coordinator memory_;  // behind it, as is what follows
     std::map<std::string, protocol::CatalogEntry> list_;
     std::uint64_t rev_ = 0;
     routing::PeerLink* link_ = nullptr;
--- a/tests/recovery/memory_test.cpp
+++ b/tests/recovery/coordinator_test.cpp
@@ -7,17 +7,17 @@
 #include <algorithm>
 #include <random>
 
-#include "recovery/memory.h"
+#include "recovery/coordinator.h"
 
 namespace marldale::recovery {
 namespace {
 
 constexpr Micros kSecond = 1000000;
 
-using Listed = Knowledge::Listed;
+using ListedServer = Knowledge::ListedServer;
 
-std::map<std::string, Listed> listOf(int boxes, std::int64_t boot = 5) {
-    std::map<std::string, Listed> out;
+std::map<std::string, ListedServer> listOf(int boxes, std::int64_t boot = 5) {
+    std::map<std::string, ListedServer> out;
     for (int i = 0; i < boxes; ++i) out["box-" + std::to_string(i)] = {ServerState::ready, boot};
     return out;
 }
@@ -87,17 +87,17 @@
 // Instances whose words and answers reach one another within a moment.
 class Instances {
 public:
-    Memory& start(const std::string& name, std::uint64_t incarnation,
-                  const std::map<std::string, Listed>& list, std::uint64_t version) {
-        MemorySettings settings;
+    Coordinator& start(const std::string& name, std::uint64_t incarnation,
+                       const std::map<std::string, ListedServer>& list, std::uint64_t version) {
+        CoordinatorSettings settings;
         settings.self = name;
         settings.share = true;
         settings.incarnation = incarnation;
         settings.seed = incarnation * 31 + name.size();
         for (const char* peer : {"n0", "n1", "n2"}) settings.peers.push_back({peer, peer});
-        auto& memory = all_[name] = std::make_unique<Memory>(settings, now);
+        auto& memory = all_[name] = std::make_unique<Coordinator>(settings, now);
         memory->connect(name);
-        memory->listed(version, list, now);
+        memory->updateList(version, list, now);
         told.erase(name);
         holds.erase(name);
         return *memory;
@@ -108,7 +108,7 @@
             for (auto& [name, memory] : all_) act(name, *memory);
         }
     }
-    Memory& operator[](const std::string& name) { return *all_.at(name); }
+    Coordinator& operator[](const std::string& name) { return *all_.at(name); }
     Micros now = 0;
     std::map<std::string, std::vector<RecalledSum>> told;  // to each instance's module
     std::map<std::string, std::set<std::string>> holds;
@@ -116,11 +116,11 @@
     std::function<void(Handover&)> spoil;
 
 private:
-    void act(const std::string& name, Memory& memory) {
-        const MemoryActions todo = memory.due(now);
+    void act(const std::string& name, Coordinator& memory) {
+        const CoordinatorActions todo = memory.due(now);
         for (const RecalledSum& sum : todo.sums) told[name].push_back(sum);
         for (const Hold& hold : todo.holds) {
-            hold.held ? (void)holds[name].insert(hold.box) : (void)holds[name].erase(hold.box);
+            hold.held ? (void)holds[name].insert(hold.server) : (void)holds[name].erase(hold.server);
         }
         for (const auto& message : todo.say) {
             const auto to = all_.find(memory.addressOf(message.to));
@@ -137,25 +137,25 @@
             memory.answered(peer.name, handover, 1000, "", now);
         }
     }
-    std::map<std::string, std::unique_ptr<Memory>> all_;
+    std::map<std::string, std::unique_ptr<Coordinator>> all_;
 };
 
-double triesTold(const Instances& net, const std::string& name, const std::string& box) {
+double triesTold(const Instances& net, const std::string& name, const std::string& server) {
     double out = 0;
     const auto at = net.told.find(name);
     if (at == net.told.end()) return 0;
-    for (const RecalledSum& sum : at->second) out += sum.box == box ? sum.tries : 0;
+    for (const RecalledSum& sum : at->second) out += sum.server == server ? sum.tries : 0;
     return out;
 }
 
-TEST(Memory, AnInstanceThatStartsIsToldWhatAllItsPeersKnowAndNothingTwice) {
+TEST(Coordinator, AnInstanceThatStartsIsToldWhatAllItsPeersKnowAndNothingTwice) {
     Instances net;
     net.start("n0", 1, listOf(3), 1);
     net.start("n1", 1, listOf(3), 1);
     net.run(11 * kSecond);
-    net["n0"].saw({"box-0", "a", 5, 30, 30, 0}, net.now);
-    net["n1"].saw({"box-0", "a", 5, 20, 20, 0}, net.now);
-    net["n1"].saw({"box-1", "b", 5, 50, 1, 9000}, net.now);
+    net["n0"].recordOutcomes({"box-0", "a", 5, 30, 30, 0}, net.now);
+    net["n1"].recordOutcomes({"box-0", "a", 5, 20, 20, 0}, net.now);
+    net["n1"].recordOutcomes({"box-1", "b", 5, 50, 1, 9000}, net.now);
     net.start("n2", 1, listOf(3), 1);
     net.run(8 * kSecond);
     EXPECT_NEAR(triesTold(net, "n2", "box-0"), 50, 1) << "the one's and the other's, whoever came first";
@@ -164,10 +164,10 @@
     EXPECT_EQ(net.told["n0"].size() + net.told["n1"].size(), 0U) << "who is there asks no more";
 }
 
-TEST(Memory, APeerThatDiesHalfwayOrHasJustStartedItselfIsNoLoss) {
+TEST(Coordinator, APeerThatDiesHalfwayOrHasJustStartedItselfIsNoLoss) {
     Instances net;
     net.start("n0", 1, listOf(2), 1);
-    net["n0"].saw({"box-0", "a", 5, 30, 0, 9000}, 0);
+    net["n0"].recordOutcomes({"box-0", "a", 5, 30, 0, 9000}, 0);
     net.start("n1", 1, listOf(2), 1);  // knows nothing yet
     net.dumb = {"n0"};
     net.start("n2", 1, listOf(2), 1);
@@ -178,10 +178,10 @@
     EXPECT_GT(triesTold(net, "n2", "box-0"), 20) << "asked again";
 }
 
-TEST(Memory, WhenEveryInstanceRestartsAtOnceNothingGoesRoundInCircles) {
+TEST(Coordinator, WhenEveryInstanceRestartsAtOnceNothingGoesRoundInCircles) {
     Instances net;
     for (const char* name : {"n0", "n1", "n2"}) net.start(name, 1, listOf(2), 1);
-    net["n0"].saw({"box-0", "a", 5, 64, 64, 0}, net.now);
+    net["n0"].recordOutcomes({"box-0", "a", 5, 64, 64, 0}, net.now);
     net.run(6 * kSecond);  // the others have asked, and hold hearsay
     double before = 0;
     for (const char* name : {"n1", "n2"}) before = std::max(before, triesTold(net, name, "box-0"));
@@ -201,12 +201,12 @@
     EXPECT_EQ(triesTold(net, "n0", "box-0"), 0) << "and is gone in the end";
 }
 
-TEST(Memory, DonorsThatContradictEachOtherAreBothHeardAndTheirWeightIsBounded) {
+TEST(Coordinator, DonorsThatContradictEachOtherAreBothHeardAndTheirWeightIsBounded) {
     Instances net;
     net.start("n0", 1, listOf(1), 1);
     net.start("n1", 1, listOf(1), 1);
-    net["n0"].saw({"box-0", "a", 5, 5000, 5000, 0}, 0);
-    net["n1"].saw({"box-0", "a", 5, 64, 0, 9000}, 0);
+    net["n0"].recordOutcomes({"box-0", "a", 5, 5000, 5000, 0}, 0);
+    net["n1"].recordOutcomes({"box-0", "a", 5, 64, 0, 9000}, 0);
     net.start("n2", 1, listOf(1), 1);
     net.run(4 * kSecond);
     double tries = 0, failed = 0;
@@ -215,11 +215,11 @@
     EXPECT_NEAR(failed / tries, 0.5, 0.05) << "neither is believed alone";
 }
 
-TEST(Memory, AFleetThatWasReplacedUnderTheSameIdsIsNotJudgedByItsPredecessors) {
+TEST(Coordinator, AFleetThatWasReplacedUnderTheSameIdsIsNotJudgedByItsPredecessors) {
     Instances net;
     net.start("n0", 1, listOf(2, 5), 1);
-    net["n0"].saw({"box-0", "a", 5, 64, 64, 0}, 0);
-    net["n0"].saw({"box-1", "a", 5, 64, 64, 0}, 0);
+    net["n0"].recordOutcomes({"box-0", "a", 5, 64, 64, 0}, 0);
+    net["n0"].recordOutcomes({"box-1", "a", 5, 64, 64, 0}, 0);
     auto replaced = listOf(2, 5);
     replaced["box-0"].bootMs = 9;
     net.start("n2", 1, replaced, 2);
@@ -228,24 +228,24 @@
     EXPECT_GT(triesTold(net, "n2", "box-1"), 50);
 }
 
-TEST(Memory, ABoxThatADonorSawDrainingIsHeldBackUntilOurListHasThatVersion) {
+TEST(Coordinator, ABoxThatADonorSawDrainingIsHeldBackUntilOurListHasThatVersion) {
     Instances net;
     auto later = listOf(3);
     later["box-1"].state = ServerState::draining;
     net.start("n0", 1, later, 9);
-    net["n0"].saw({"box-0", "a", 5, 10, 0, 1000}, 0);
+    net["n0"].recordOutcomes({"box-0", "a", 5, 10, 0, 1000}, 0);
     net.start("n2", 1, listOf(3), 5);
     net.run(2 * kSecond);
     EXPECT_EQ(net.holds["n2"], std::set<std::string>{"box-1"});
-    net["n2"].listed(8, listOf(3), net.now);
+    net["n2"].updateList(8, listOf(3), net.now);
     net.run(kSecond);
     EXPECT_EQ(net.holds["n2"].size(), 1U);
-    net["n2"].listed(9, listOf(3), net.now);  // the list says that it is ready: it alone decides
+    net["n2"].updateList(9, listOf(3), net.now);  // the list says that it is ready: it alone decides
     net.run(kSecond);
     EXPECT_TRUE(net.holds["n2"].empty());
 }
 
-TEST(Memory, AHostilePeerCostsABoundedAmountAndBringsNoBoxBack) {
+TEST(Coordinator, AHostilePeerCostsABoundedAmountAndBringsNoBoxBack) {
     Instances net;
     net.start("n0", 1, listOf(3), 1);
     net.spoil = [](Handover& h) {
@@ -273,22 +273,23 @@
     list["box-2"].state = ServerState::draining;
     net.start("n2", 1, list, 1);
     net.run(4 * kSecond);
-    EXPECT_TRUE(net.holds["n2"].empty()) << "it would be every box that is ready";
-    for (const char* box : {"box-0", "box-1"}) EXPECT_LE(triesTold(net, "n2", box), 128);
+    EXPECT_TRUE(net.holds["n2"].empty()) << "it would be every server that is ready";
+    for (const char* server : {"box-0", "box-1"}) EXPECT_LE(triesTold(net, "n2", server), 128);
     EXPECT_EQ(triesTold(net, "n2", "box-2"), 0);
     EXPECT_EQ(triesTold(net, "n2", "box-9"), 0);
     // Live tries settle it: after three reports of what is true nothing of the lie weighs more.
-    for (int i = 0; i < 3; ++i) net["n2"].saw({"box-0", "a", 5, 50, 0, 9000}, net.now + i * 2 * kSecond);
+    for (int i = 0; i < 3; ++i)
+        net["n2"].recordOutcomes({"box-0", "a", 5, 50, 0, 9000}, net.now + i * 2 * kSecond);
     const auto& sums = net["n2"].handOver(net.now + 4 * kSecond).sums;
     const auto own = std::find_if(sums.begin(), sums.end(),
-                                  [](const SumFact& f) { return f.origin == "n2" && f.box == "box-0"; });
+                                  [](const SumFact& f) { return f.origin == "n2" && f.server == "box-0"; });
     ASSERT_NE(own, sums.end());
     EXPECT_EQ(own->failed, 0U);
 }
 
-TEST(Memory, WhatNobodyAskedForIsDropped) {
+TEST(Coordinator, WhatNobodyAskedForIsDropped) {
     Instances net;
-    Memory& memory = net.start("n2", 1, listOf(1), 1);
+    Coordinator& memory = net.start("n2", 1, listOf(1), 1);
     Handover h;
     h.sums = {{"n1", "box-0", "a", 5, {1, 1}, 0, 50, 50, 0}};
     memory.answered("n1", h, 0, "", 0);
@@ -296,10 +297,10 @@
     EXPECT_EQ(triesTold(net, "n2", "box-0"), 0);
 }
 
-TEST(Memory, ADonorWhoseClockStandsStillGivesAgesThatAreTooYoungAndNoMore) {
+TEST(Coordinator, ADonorWhoseClockStandsStillGivesAgesThatAreTooYoungAndNoMore) {
     Instances net;
-    Memory& donor = net.start("n0", 1, listOf(1), 1);
-    donor.saw({"box-0", "a", 5, 64, 64, 0}, 0);
+    Coordinator& donor = net.start("n0", 1, listOf(1), 1);
+    donor.recordOutcomes({"box-0", "a", 5, 64, 64, 0}, 0);
     const Handover frozen = donor.handOver(0);
     net.spoil = [&](Handover& h) { h = frozen; };
     net.run(100 * kSecond);
@@ -308,18 +309,18 @@
     EXPECT_LE(triesTold(net, "n2", "box-0"), 64) << "as much as one origin may ever weigh";
 }
 
-TEST(Memory, WithoutPeersNothingIsEverDueButWhatASnapshotBrings) {
-    MemorySettings settings;
+TEST(Coordinator, WithoutPeersNothingIsEverDueButWhatASnapshotBrings) {
+    CoordinatorSettings settings;
     settings.self = "n0";
     settings.incarnation = 2;
-    Memory memory(settings, 0);
-    memory.listed(1, listOf(1), 0);
+    Coordinator memory(settings, 0);
+    memory.updateList(1, listOf(1), 0);
     EXPECT_TRUE(memory.due(0).empty());
     EXPECT_FALSE(memory.nextDue(0));
     Handover h;
     h.sums = {{"n0", "box-0", "a", 5, {1, 1}, 0, 40, 40, 0}};
-    EXPECT_EQ(memory.recall(h, 20 * kSecond, 0).taken, 1U);
-    const MemoryActions todo = memory.due(0);
+    EXPECT_EQ(memory.mergeSnapshot(h, 20 * kSecond, 0).taken, 1U);
+    const CoordinatorActions todo = memory.due(0);
     ASSERT_EQ(todo.sums.size(), 1U);
     EXPECT_NEAR(todo.sums[0].tries, 20, 0.1) << "twenty seconds old";
     EXPECT_TRUE(memory.due(kSecond).empty()) << "once";
--- a/tests/recovery/recovery_test.cpp
+++ b/tests/recovery/recovery_test.cpp
@@ -16,10 +16,10 @@
 
 constexpr Micros kSecond = 1000000;
 
-using Listed = Knowledge::Listed;
+using ListedServer = Knowledge::ListedServer;
 
-std::map<std::string, Listed> listOf(int boxes, std::int64_t boot = 5) {
-    std::map<std::string, Listed> out;
+std::map<std::string, ListedServer> listOf(int boxes, std::int64_t boot = 5) {
+    std::map<std::string, ListedServer> out;
     for (int i = 0; i < boxes; ++i) out["box-" + std::to_string(i)] = {ServerState::ready, boot};
     return out;
 }
@@ -30,14 +30,14 @@
     for (std::uint64_t i = random() % 12; i > 0; --i) {
         SumFact f;
         f.origin = "n" + std::to_string(random() % 4);
-        f.box = "box-" + std::to_string(random() % 3);
+        f.server = "box-" + std::to_string(random() % 3);
         f.zone = random() % 2 == 0 ? "a" : "b";
         f.bootMs = 5;
-        f.word = {1 + random() % 2, random() % 3};
+        f.version = {1 + random() % 2, random() % 3};
         f.age = static_cast<Micros>(random() % 50) * kSecond;
         // The same word of the same origin says the same, however it came.
-        const std::uint64_t says =
-            f.word.incarnation * 7 + f.word.number * 13 + f.box.back() + f.zone.back() + f.origin.back();
+        const std::uint64_t says = f.version.incarnation * 7 + f.version.number * 13 + f.server.back() +
+                                   f.zone.back() + f.origin.back();
         f.tries = 10 + static_cast<std::uint32_t>(says % 50);
         f.failed = static_cast<std::uint32_t>(says % 10);
         f.mean = static_cast<Micros>(says) * 1000;
@@ -52,7 +52,7 @@
                      {1 + random() % 2, random() % 3},
                      static_cast<Micros>(random() % 20) * kSecond};
         const std::uint64_t says =
-            f.word.incarnation * 7 + f.word.number * 13 + f.zone.back() + f.origin.back();
+            f.version.incarnation * 7 + f.version.number * 13 + f.zone.back() + f.origin.back();
         f.rate = static_cast<double>(says) / 8;
         f.proxies = 1 + static_cast<std::uint32_t>(says % 5);
         out.demand.push_back(f);
@@ -67,13 +67,14 @@
 std::vector<std::tuple<std::string, std::string, double, double, Micros>> pictureOf(const Knowledge& k,
                                                                                     Micros now) {
     std::vector<std::tuple<std::string, std::string, double, double, Micros>> out;
-    for (const RecalledSum& r : k.recalled(now)) out.emplace_back(r.box, r.zone, r.tries, r.failed, r.mean);
+    for (const RecalledSum& r : k.recalled(now))
+        out.emplace_back(r.server, r.zone, r.tries, r.failed, r.mean);
     return out;
 }
 
 Knowledge fresh() {
     Knowledge out("me", 1);
-    out.listSays(2, listOf(3), 0);
+    out.updateList(2, listOf(3), 0);
     return out;
 }
 
@@ -100,10 +101,10 @@
     std::vector<Knowledge> ring;
     for (int i = 0; i < 4; ++i) {
         ring.emplace_back("n" + std::to_string(i), 1);
-        ring.back().listSays(2, listOf(3), 0);
+        ring.back().updateList(2, listOf(3), 0);
     }
-    ring[0].saw({"box-0", "a", 5, 40, 4, 90000}, 0);
-    ring[1].saw({"box-0", "a", 5, 30, 0, 70000}, 0);
+    ring[0].recordOutcomes({"box-0", "a", 5, 40, 4, 90000}, 0);
+    ring[1].recordOutcomes({"box-0", "a", 5, 30, 0, 70000}, 0);
     Micros now = 0;
     double most = 1e9;
     for (int turn = 0; turn < 60; ++turn) {
@@ -128,10 +129,10 @@
     auto list = listOf(3);
     list["box-1"].state = ServerState::draining;
     list.erase("box-2");
-    k.listSays(2, list, 0);
+    k.updateList(2, list, 0);
     for (int i = 0; i < 8; ++i) (void)k.merge(randomHandover(random), 0, kSecond);
-    for (const RecalledSum& r : k.recalled(kSecond)) RC_ASSERT(r.box == "box-0");
-    for (const std::string& box : k.heldBack(0)) RC_ASSERT(box == "box-0");
+    for (const RecalledSum& r : k.recalled(kSecond)) RC_ASSERT(r.server == "box-0");
+    for (const std::string& server : k.heldBack(0)) RC_ASSERT(server == "box-0");
 }
 
 TEST(Knowledge, ABoxThatANewerListSawDrainingIsHeldBackUntilOursHasThatVersion) {
@@ -139,52 +140,52 @@
     auto later = listOf(3);
     later["box-1"].state = ServerState::draining;
     later["box-2"].state = ServerState::gone;
-    donor.listSays(9, later, 0);
-    asker.listSays(5, listOf(3), 0);
+    donor.updateList(9, later, 0);
+    asker.updateList(5, listOf(3), 0);
     (void)asker.merge(donor.handOver(0), 0, 0);
     EXPECT_EQ(asker.heldBack(0), (std::set<std::string>{"box-1", "box-2"}));
-    asker.listSays(8, listOf(3), 0);
+    asker.updateList(8, listOf(3), 0);
     EXPECT_EQ(asker.heldBack(0).size(), 2U);
-    asker.listSays(9, later, 0);
+    asker.updateList(9, later, 0);
     EXPECT_TRUE(asker.heldBack(0).empty()) << "our own list says so itself now";
     // An older list than ours holds nothing back.
     Knowledge behind("n3", 1);
-    behind.listSays(3, later, 0);
-    asker.listSays(10, listOf(3), 0);
+    behind.updateList(3, later, 0);
+    asker.updateList(10, listOf(3), 0);
     (void)asker.merge(behind.handOver(0), 0, 0);
     EXPECT_TRUE(asker.heldBack(0).empty());
 }
 
 TEST(Knowledge, NoDonorLeavesUsWithoutABoxOrSpeaksOfALaterBoot) {
     Knowledge k("me", 1);
-    k.listSays(1, listOf(2, 5), 0);
+    k.updateList(1, listOf(2, 5), 0);
     Handover hostile;
     hostile.listed = {{"box-0", 9, ServerState::gone, 5}, {"box-1", 9, ServerState::gone, 5}};
     (void)k.merge(hostile, 0, 0);
     EXPECT_TRUE(k.heldBack(0).empty()) << "all of them";
     auto restarted = listOf(2, 5);
     restarted["box-0"].bootMs = 8;
-    k.listSays(2, restarted, 0);
+    k.updateList(2, restarted, 0);
     EXPECT_EQ(k.heldBack(0), std::set<std::string>{"box-1"}) << "box-0 was started anew since";
 }
 
 TEST(Knowledge, FactsOfAnotherBootAreVoid) {
     Knowledge k("me", 1);
-    k.listSays(1, listOf(2, 5), 0);
+    k.updateList(1, listOf(2, 5), 0);
     Handover ahead;
     ahead.sums.push_back({"n1", "box-0", "a", 5, {1, 1}, 0, 50, 0, 1000});
     ahead.sums.push_back({"n1", "box-1", "a", 9, {1, 1}, 0, 50, 0, 1000});
     (void)k.merge(ahead, 0, 0);
     EXPECT_EQ(k.recalled(0).size(), 1U) << "of a boot that our list does not have yet";
-    k.listSays(2, listOf(2, 9), 0);
+    k.updateList(2, listOf(2, 9), 0);
     const auto now = k.recalled(0);
     ASSERT_EQ(now.size(), 1U);
-    EXPECT_EQ(now[0].box, "box-1") << "and of one that is over";
+    EXPECT_EQ(now[0].server, "box-1") << "and of one that is over";
 }
 
 TEST(Knowledge, LiveEvidenceOutweighsWhatWasRecalledWithinThreeReports) {
     Knowledge k("me", 1);
-    k.listSays(1, listOf(1), 0);
+    k.updateList(1, listOf(1), 0);
     Handover lie;  // a hostile peer under many names
     for (int i = 0; i < 100; ++i)
         lie.sums.push_back({"n" + std::to_string(i), "box-0", "a", 5, {1, 1}, 0, 10'000'000, 10'000'000, 0});
@@ -201,7 +202,7 @@
 
 TEST(Knowledge, WhatCantBeIsRefusedAndOurOwnSightIsNotToldToUs) {
     Knowledge k("me", 7);
-    k.listSays(1, listOf(1), 0);
+    k.updateList(1, listOf(1), 0);
     Handover h;
     const SumFact good{"n1", "box-0", "a", 5, {1, 1}, 0, 50, 5, 1000};
     for (int kind = 0; kind < 9; ++kind) {
@@ -211,24 +212,24 @@
         if (kind == 2) f.failed = 51;
         if (kind == 3) f.mean = -1;
         if (kind == 4) f.tries = 0;
-        if (kind == 5) f.box.clear();
+        if (kind == 5) f.server.clear();
         if (kind == 6) f.zone = std::string(500, 'z');
-        if (kind == 7) f.origin = "me", f.word = {7, 99};
+        if (kind == 7) f.origin = "me", f.version = {7, 99};
         if (kind == 8) f.bootMs = -1;
         h.sums.push_back(f);
     }
     EXPECT_EQ(k.merge(h, 0, 0).refused, 9U);
     h.sums = {good};
     h.sums[0].origin = "me";
-    h.sums[0].word = {6, 5};
+    h.sums[0].version = {6, 5};
     EXPECT_EQ(k.merge(h, 0, 0).taken, 1U) << "what we saw before we were started anew";
 }
 
 TEST(Knowledge, TheWholeAskingCountsAsAge) {
     Knowledge donor("n1", 1), asker("n2", 1);
-    donor.listSays(1, listOf(1), 0);
-    asker.listSays(1, listOf(1), 0);
-    donor.saw({"box-0", "a", 5, 64, 0, 1000}, 100 * kSecond);
+    donor.updateList(1, listOf(1), 0);
+    asker.updateList(1, listOf(1), 0);
+    donor.recordOutcomes({"box-0", "a", 5, 64, 0, 1000}, 100 * kSecond);
     // Their clocks have nothing in common.
     (void)asker.merge(donor.handOver(110 * kSecond), 10 * kSecond, 5 * kSecond);
     EXPECT_NEAR(asker.recalled(5 * kSecond)[0].tries, 32, 0.01) << "twenty seconds old";
@@ -236,21 +237,21 @@
 
 TEST(Knowledge, AFewTriesInARowThatTellOtherwiseBeginANewSum) {
     Knowledge k("n1", 1);
-    k.listSays(1, listOf(1), 0);
-    for (int i = 0; i < 50; ++i) k.saw({"box-0", "a", 5, 2, 0, 1000}, i * 2 * kSecond);
-    k.saw({"box-0", "a", 5, 2, 2, 0}, 100 * kSecond);
+    k.updateList(1, listOf(1), 0);
+    for (int i = 0; i < 50; ++i) k.recordOutcomes({"box-0", "a", 5, 2, 0, 1000}, i * 2 * kSecond);
+    k.recordOutcomes({"box-0", "a", 5, 2, 2, 0}, 100 * kSecond);
     EXPECT_EQ(k.handOver(100 * kSecond).sums[0].failed, 0U) << "two may be chance";
-    k.saw({"box-0", "a", 5, 2, 2, 0}, 102 * kSecond);
+    k.recordOutcomes({"box-0", "a", 5, 2, 2, 0}, 102 * kSecond);
     auto fact = k.handOver(102 * kSecond).sums[0];
     EXPECT_EQ(fact.tries, 4U);
     EXPECT_EQ(fact.failed, 4U);
     EXPECT_EQ(fact.failsFor, 2 * kSecond);
     // It is ejected: a trial now and then is all that comes, and it goes on failing.
-    for (int i = 1; i <= 5; ++i) k.saw({"box-0", "a", 5, 1, 1, 0}, (102 + 8 * i) * kSecond);
+    for (int i = 1; i <= 5; ++i) k.recordOutcomes({"box-0", "a", 5, 1, 1, 0}, (102 + 8 * i) * kSecond);
     fact = k.handOver(142 * kSecond).sums[0];
     EXPECT_EQ(fact.tries, 9U) << "evidence does not go away because there are few tries";
     EXPECT_EQ(fact.failsFor, 42 * kSecond);
-    k.saw({"box-0", "a", 5, 5, 0, 2000}, 144 * kSecond);
+    k.recordOutcomes({"box-0", "a", 5, 5, 0, 2000}, 144 * kSecond);
     fact = k.handOver(144 * kSecond).sums[0];
     EXPECT_EQ(fact.failed, 0U);
     EXPECT_EQ(fact.failsFor, 0);
@@ -259,7 +260,7 @@
 
 TEST(Knowledge, AClaimedListThatNeverComesHoldsNothingBackForGood) {
     Knowledge k("me", 1);
-    k.listSays(1, listOf(3), 0);
+    k.updateList(1, listOf(3), 0);
     Handover lie;
     lie.listed = {{"box-0", 1ULL << 60U, ServerState::draining, 5}};
     (void)k.merge(lie, 0, kSecond);
@@ -271,17 +272,17 @@
 
 TEST(Knowledge, WhatThisLifeHasSeenForItselfIsNotRecalled) {
     Knowledge k("me", 2);
-    k.listSays(1, listOf(2), 0);
+    k.updateList(1, listOf(2), 0);
     Handover h;
     h.sums = {{"n1", "box-0", "a", 5, {1, 1}, 0, 50, 50, 0},
               {"me", "box-0", "a", 5, {1, 1}, 0, 50, 50, 0},
               {"me", "box-1", "a", 5, {1, 2}, 0, 50, 0, 1000}};
     (void)k.merge(h, 0, 0);
     EXPECT_EQ(k.recalled(0).size(), 2U) << "of its last life too";
-    k.saw({"box-0", "a", 5, 1, 0, 1000}, kSecond);
+    k.recordOutcomes({"box-0", "a", 5, 1, 0, 1000}, kSecond);
     const auto left = k.recalled(kSecond);
     ASSERT_EQ(left.size(), 1U);
-    EXPECT_EQ(left[0].box, "box-1");
+    EXPECT_EQ(left[0].server, "box-1");
 }
 
 TEST(Knowledge, DemandIsAddedUpOverProxiesAndGoesWithThem) {
@@ -325,12 +326,12 @@
 
 TEST(Codec, LargeFleetsFitAndSayHowMuchTheyTake) {
     Knowledge k("n1", 1);
-    k.listSays(1, listOf(540), 0);
+    k.updateList(1, listOf(540), 0);
     for (int i = 0; i < 540; ++i) {
         for (const char* zone : {"a", "b", "c", "d"}) {
-            k.saw({"box-" + std::to_string(i), zone, 5, 40 + static_cast<std::uint32_t>(i % 20), 0,
-                   90000 + i * 13},
-                  0);
+            k.recordOutcomes({"box-" + std::to_string(i), zone, 5, 40 + static_cast<std::uint32_t>(i % 20), 0,
+                              90000 + i * 13},
+                             0);
         }
     }
     const std::string bytes = encode(k.handOver(kSecond));
