--- a/src/decisions/recovery/codec.cpp
+++ b/src/decisions/recovery/codec.cpp
@@ -1,3 +1,4 @@
+// Encoding and decoding of handovers.
 #include "recovery/codec.h"
 
 #define XXH_INLINE_ALL
@@ -20,28 +21,30 @@
 using bytes::Reader;
 
 constexpr std::string_view kMagic = "MRLK";
-constexpr std::uint32_t kVersion = 1;
-constexpr std::size_t kHead = 24, kTextMost = 256, kFactsMost = 200000, kLoadsMost = 64;
-// 1 and 2 were the first forms of sums and list.
-constexpr std::uint64_t kSums = 3, kListed = 4, kDemand = 5;
+constexpr std::size_t kHeaderBytes = 24;
+constexpr std::uint32_t kFormatVersion = 1;
+// Limits of a handover that is read; anything larger is rejected.
+constexpr std::size_t kMaxTextBytes = 256, kMaxFacts = 200000, kMaxLoadValues = 64;
+// Section kinds. 1 and 2 were used by earlier formats of the sums and the list.
+constexpr std::uint64_t kSumsSection = 3, kListedSection = 4, kDemandSection = 5;
 constexpr int kZstdLevel = 3;
 
-// Names, each written once.
-class Names {
+// Assigns an index to each distinct name, so that it is written only once.
+class NameTable {
 public:
-    std::uint64_t of(const std::string& name) {
-        const auto [at, fresh] = known_.try_emplace(name, known_.size());
-        if (fresh) putText(text_, name);
-        return at->second;
+    std::uint64_t indexOf(const std::string& name) {
+        const auto [entry, inserted] = indices_.try_emplace(name, indices_.size());
+        if (inserted) putText(text_, name);
+        return entry->second;
     }
     [[nodiscard]] std::string section() const {
         std::string out;
-        putVar(out, known_.size());
+        putVar(out, indices_.size());
         return out + text_;
     }
 
 private:
-    std::map<std::string, std::uint64_t> known_;
+    std::map<std::string, std::uint64_t> indices_;
     std::string text_;
 };
 
@@ -50,15 +53,15 @@
     putText(out, content);
 }
 
-std::string plainOf(const Handover& handover) {
-    Names names;
+std::string encodePlain(const Handover& handover) {
+    NameTable names;
     std::string sums, listed, demand;
     putVar(sums, handover.sums.size());
     for (const SumFact& f : handover.sums) {
-        for (const std::string* name : {&f.origin, &f.server, &f.zone}) putVar(sums, names.of(*name));
+        for (const std::string* name : {&f.origin, &f.server, &f.zone}) putVar(sums, names.indexOf(*name));
         putVar(sums, static_cast<std::uint64_t>(f.bootMs));
         putVar(sums, f.version.incarnation);
-        putVar(sums, f.version.number);
+        putVar(sums, f.version.sequence);
         putVar(sums, static_cast<std::uint64_t>(f.age));
         putVar(sums, f.tries);
         putVar(sums, f.failed);
@@ -66,13 +69,13 @@
         putVar(sums, static_cast<std::uint64_t>(f.failsFor));
         putVar(sums, f.load.size());
         for (const auto& [name, value] : f.load) {
-            putVar(sums, names.of(name));
+            putVar(sums, names.indexOf(name));
             putFixed<std::uint64_t>(sums, std::bit_cast<std::uint64_t>(value));
         }
     }
     putVar(listed, handover.listed.size());
     for (const ListedFact& f : handover.listed) {
-        putVar(listed, names.of(f.server));
+        putVar(listed, names.indexOf(f.server));
         putVar(listed, f.version);
         putVar(listed, static_cast<std::uint64_t>(f.state));
         putVar(listed, static_cast<std::uint64_t>(f.bootMs));
@@ -80,9 +83,9 @@
     }
     putVar(demand, handover.demand.size());
     for (const DemandFact& f : handover.demand) {
-        for (const std::string* name : {&f.origin, &f.zone, &f.klass}) putVar(demand, names.of(*name));
+        for (const std::string* name : {&f.origin, &f.zone, &f.klass}) putVar(demand, names.indexOf(*name));
         putVar(demand, f.version.incarnation);
-        putVar(demand, f.version.number);
+        putVar(demand, f.version.sequence);
         putVar(demand, static_cast<std::uint64_t>(f.age));
         putFixed<std::uint64_t>(demand, std::bit_cast<std::uint64_t>(f.rate));
         putVar(demand, f.proxies);
@@ -90,14 +93,14 @@
     std::string out;
     putText(out, handover.from);
     putText(out, names.section());
-    putSection(out, kSums, sums);
-    putSection(out, kListed, listed);
-    putSection(out, kDemand, demand);
+    putSection(out, kSumsSection, sums);
+    putSection(out, kListedSection, listed);
+    putSection(out, kDemandSection, demand);
     return out;
 }
 
 bool readNames(std::string_view section, std::vector<std::string>& names) {
-    Reader in(section, kTextMost);
+    Reader in(section, kMaxTextBytes);
     const std::uint64_t count = in.var();
     if (count > section.size()) return false;
     for (std::uint64_t i = 0; i < count && in.good(); ++i) names.emplace_back(in.text());
@@ -105,22 +108,22 @@
 }
 
 bool readName(Reader& in, const std::vector<std::string>& names, std::string& out) {
-    const std::uint64_t which = in.var();
-    if (which >= names.size()) return false;
-    out = names[which];
+    const std::uint64_t index = in.var();
+    if (index >= names.size()) return false;
+    out = names[index];
     return true;
 }
 
-// What is no number is 0.
+// Infinities and NaN are read as 0.
 double readDouble(Reader& in) {
     const double out = std::bit_cast<double>(in.fixed());
     return std::isfinite(out) ? out : 0;
 }
 
 bool readSums(std::string_view section, const std::vector<std::string>& names, Handover& out) {
-    Reader in(section, kTextMost);
+    Reader in(section, kMaxTextBytes);
     const std::uint64_t count = in.var();
-    if (count > kFactsMost) return false;
+    if (count > kMaxFacts) return false;
     for (std::uint64_t i = 0; i < count && in.good(); ++i) {
         SumFact f;
         for (std::string* name : {&f.origin, &f.server, &f.zone}) {
@@ -128,14 +131,14 @@
         }
         f.bootMs = static_cast<std::int64_t>(in.var());
         f.version.incarnation = in.var();
-        f.version.number = in.var();
+        f.version.sequence = in.var();
         f.age = static_cast<Micros>(in.var());
         f.tries = static_cast<std::uint32_t>(in.var());
         f.failed = static_cast<std::uint32_t>(in.var());
         f.mean = static_cast<Micros>(in.var());
         f.failsFor = static_cast<Micros>(in.var());
         const std::uint64_t loads = in.var();
-        if (loads > kLoadsMost) return false;
+        if (loads > kMaxLoadValues) return false;
         for (std::uint64_t l = 0; l < loads && in.good(); ++l) {
             std::string name;
             if (!readName(in, names, name)) return false;
@@ -147,9 +150,9 @@
 }
 
 bool readListed(std::string_view section, const std::vector<std::string>& names, Handover& out) {
-    Reader in(section, kTextMost);
+    Reader in(section, kMaxTextBytes);
     const std::uint64_t count = in.var();
-    if (count > kFactsMost) return false;
+    if (count > kMaxFacts) return false;
     for (std::uint64_t i = 0; i < count && in.good(); ++i) {
         ListedFact f;
         if (!readName(in, names, f.server)) return false;
@@ -157,7 +160,7 @@
         const std::uint64_t state = in.var();
         f.bootMs = static_cast<std::int64_t>(in.var());
         f.since = static_cast<Micros>(in.var());
-        // A state of a later version is the most careful one.
+        // A state that this version does not know is read as the most restrictive one.
         f.state = state <= 2 ? static_cast<ServerState>(state) : ServerState::gone;
         if (in.good()) out.listed.push_back(std::move(f));
     }
@@ -165,16 +168,16 @@
 }
 
 bool readDemand(std::string_view section, const std::vector<std::string>& names, Handover& out) {
-    Reader in(section, kTextMost);
+    Reader in(section, kMaxTextBytes);
     const std::uint64_t count = in.var();
-    if (count > kFactsMost) return false;
+    if (count > kMaxFacts) return false;
     for (std::uint64_t i = 0; i < count && in.good(); ++i) {
         DemandFact f;
         for (std::string* name : {&f.origin, &f.zone, &f.klass}) {
             if (!readName(in, names, *name)) return false;
         }
         f.version.incarnation = in.var();
-        f.version.number = in.var();
+        f.version.sequence = in.var();
         f.age = static_cast<Micros>(in.var());
         f.rate = readDouble(in);
         f.proxies = static_cast<std::uint32_t>(in.var());
@@ -186,49 +189,53 @@
 }  // namespace
 
 bool decodePlain(std::string_view plain, Handover& out) {
-    Reader in(plain, kHandoverMost);
-    out.from = std::string(in.text().substr(0, kTextMost));
+    Reader in(plain, kMaxHandoverBytes);
+    out.from = std::string(in.text().substr(0, kMaxTextBytes));
     std::vector<std::string> names;
     if (!readNames(in.text(), names)) return false;
     while (in.good() && !in.empty()) {
         const std::uint64_t kind = in.var();
         const std::string_view section = in.text();
-        if (kind == kSums && !readSums(section, names, out)) return false;
-        if (kind == kListed && !readListed(section, names, out)) return false;
-        if (kind == kDemand && !readDemand(section, names, out)) return false;
+        if (kind == kSumsSection && !readSums(section, names, out)) return false;
+        if (kind == kListedSection && !readListed(section, names, out)) return false;
+        if (kind == kDemandSection && !readDemand(section, names, out)) return false;
     }
     return in.good();
 }
 
 std::string encode(const Handover& handover) {
-    const std::string plain = plainOf(handover);
-    std::string packed(ZSTD_compressBound(plain.size()), 0);
-    packed.resize(ZSTD_compress(packed.data(), packed.size(), plain.data(), plain.size(), kZstdLevel));
+    const std::string plain = encodePlain(handover);
+    std::string compressed(ZSTD_compressBound(plain.size()), 0);
+    compressed.resize(
+        ZSTD_compress(compressed.data(), compressed.size(), plain.data(), plain.size(), kZstdLevel));
     std::string out(kMagic);
-    putFixed<std::uint32_t>(out, kVersion);
+    putFixed<std::uint32_t>(out, kFormatVersion);
     putFixed<std::uint32_t>(out, static_cast<std::uint32_t>(plain.size()));
-    putFixed<std::uint32_t>(out, static_cast<std::uint32_t>(packed.size()));
-    putFixed<std::uint64_t>(out, XXH64(packed.data(), packed.size(), 0));
-    return out + packed;
+    putFixed<std::uint32_t>(out, static_cast<std::uint32_t>(compressed.size()));
+    putFixed<std::uint64_t>(out, XXH64(compressed.data(), compressed.size(), 0));
+    return out + compressed;
 }
 
-std::optional<Handover> decode(std::string_view bytes, std::string& wrong) {
-    if (bytes.size() < kHead || !bytes.starts_with(kMagic)) {
-        wrong = "this is no handover of knowledge";
+std::optional<Handover> decode(std::string_view bytes, std::string& error) {
+    if (bytes.size() < kHeaderBytes || !bytes.starts_with(kMagic)) {
+        error = "not a knowledge handover";
         return std::nullopt;
     }
-    const auto plainSize = fixedAt<std::uint32_t>(bytes, 8), packedSize = fixedAt<std::uint32_t>(bytes, 12);
-    const std::string_view packed = bytes.substr(kHead);
-    if (packedSize != packed.size() || plainSize > kHandoverMost || packedSize > kHandoverMost ||
-        XXH64(packed.data(), packed.size(), 0) != fixedAt<std::uint64_t>(bytes, 16)) {
-        wrong = "it is torn or damaged";
+    const auto plainSize = fixedAt<std::uint32_t>(bytes, 8),
+               compressedSize = fixedAt<std::uint32_t>(bytes, 12);
+    const std::string_view compressed = bytes.substr(kHeaderBytes);
+    if (compressedSize != compressed.size() || plainSize > kMaxHandoverBytes ||
+        compressedSize > kMaxHandoverBytes ||
+        XXH64(compressed.data(), compressed.size(), 0) != fixedAt<std::uint64_t>(bytes, 16)) {
+        error = "truncated or corrupt";
         return std::nullopt;
     }
     std::string plain(plainSize, 0);
-    const std::size_t size = ZSTD_decompress(plain.data(), plain.size(), packed.data(), packed.size());
+    const std::size_t size =
+        ZSTD_decompress(plain.data(), plain.size(), compressed.data(), compressed.size());
     Handover out;
     if (ZSTD_isError(size) != 0 || size != plain.size() || !decodePlain(plain, out)) {
-        wrong = "it can't be read, version " + std::to_string(fixedAt<std::uint32_t>(bytes, 4));
+        error = "unreadable content of format version " + std::to_string(fixedAt<std::uint32_t>(bytes, 4));
         return std::nullopt;
     }
     return out;
--- a/src/decisions/recovery/codec.h
+++ b/src/decisions/recovery/codec.h
@@ -1,6 +1,6 @@
-// A handover as bytes, for a peer or a snapshot: "MRLK", version (4 bytes), plain and packed sizes (4 each),
-// XXH64 of the packed bytes (8), packed bytes (zstd). Sections of a later version are skipped by their
-// length.
+// Binary format of a handover, for a peer or a snapshot: "MRLK", format version (4 bytes), uncompressed and
+// compressed sizes (4 each), XXH64 of the compressed content (8), content compressed with zstd. Readers skip
+// sections of unknown kinds by their length.
 #pragma once
 
 #include <optional>
@@ -11,12 +11,12 @@
 
 namespace marldale::recovery {
 
-inline constexpr std::size_t kHandoverMost = std::size_t{16} << 20U;  // bytes, packed or plain
+inline constexpr std::size_t kMaxHandoverBytes = std::size_t{16} << 20U;  // compressed or not
 
 [[nodiscard]] std::string encode(const Handover& handover);
-// Nothing, and what is wrong.
-[[nodiscard]] std::optional<Handover> decode(std::string_view bytes, std::string& wrong);
-// The content before packing, for fuzzing.
+// Returns nothing and sets `error` if the bytes are not a valid handover.
+[[nodiscard]] std::optional<Handover> decode(std::string_view bytes, std::string& error);
+// Decodes uncompressed content into `out`; false if it is malformed. Public for fuzzing.
 [[nodiscard]] bool decodePlain(std::string_view plain, Handover& out);
 
 }  // namespace marldale::recovery
--- a/src/decisions/recovery/coordinator.cpp
+++ b/src/decisions/recovery/coordinator.cpp
@@ -1,3 +1,4 @@
+// Turns what is known, and events of peers, into actions.
 #include "recovery/coordinator.h"
 
 #include <algorithm>
@@ -8,15 +9,17 @@
 
 using membership::PeerEvent;
 
-std::string told(const PeerEvent& event) {
+constexpr Micros kHoldCheckInterval = 1000000;
+
+std::string describe(const PeerEvent& event) {
     switch (event.kind) {
-        case PeerEvent::Kind::joined: return "peer " + event.name + " is there";
-        case PeerEvent::Kind::suspected: return "peer " + event.name + " does not answer";
-        case PeerEvent::Kind::back: return "peer " + event.name + " answers again";
-        case PeerEvent::Kind::died: return "peer " + event.name + " is taken for dead";
-        case PeerEvent::Kind::left: return "peer " + event.name + " has left";
+        case PeerEvent::Kind::joined: return "peer " + event.name + " joined";
+        case PeerEvent::Kind::suspected: return "peer " + event.name + " is not responding";
+        case PeerEvent::Kind::back: return "peer " + event.name + " is responding again";
+        case PeerEvent::Kind::died: return "peer " + event.name + " is considered dead";
+        case PeerEvent::Kind::left: return "peer " + event.name + " left";
         case PeerEvent::Kind::twoOfOneName:
-            return "two instances are called " + event.name + ": give each its own name";
+            return "two instances are named " + event.name + "; each needs a unique name";
     }
     return "?";
 }
@@ -25,13 +28,13 @@
 
 Coordinator::Coordinator(const CoordinatorSettings& settings, Micros now)
     : share_(settings.share),
-      copyHolds_(settings.ask.copyHolds),
+      handoverCacheTime_(settings.peerQueries.handoverCacheTime),
       knowledge_(settings.self, settings.incarnation, settings.knowledge),
-      asking_(settings.ask, settings.seed, now),
+      queries_(settings.peerQueries, settings.seed, now),
       peers_(settings.self, "", settings.incarnation, settings.membership, settings.seed) {
     for (const PeerPlace& peer : settings.peers) {
         if (peer.name == settings.self) continue;
-        asking_.know(peer.name, now);
+        queries_.addPeer(peer.name, now);
         peers_.know(peer.name, peer.address, now);
     }
 }
@@ -44,103 +47,105 @@
 void Coordinator::updateList(std::uint64_t version, const std::map<std::string, Knowledge::ListedServer>& all,
                              Micros now) {
     knowledge_.updateList(version, all, now);
-    fresh_ = true;
+    changed_ = true;
 }
 
 void Coordinator::proxyLeft(std::uint32_t proxy) {
-    zones_.erase(proxy);
-    knowledge_.left(proxy);
+    proxyZones_.erase(proxy);
+    knowledge_.removeProxy(proxy);
 }
 
-void Coordinator::came(std::uint32_t proxy, const std::string& klass, double rate, Micros now) {
-    const auto zone = zones_.find(proxy);
-    if (zone != zones_.end()) knowledge_.came(proxy, zone->second, klass, rate, now);
+void Coordinator::recordDemand(std::uint32_t proxy, const std::string& klass, double rate, Micros now) {
+    const auto zone = proxyZones_.find(proxy);
+    if (zone != proxyZones_.end()) knowledge_.recordDemand(proxy, zone->second, klass, rate, now);
 }
 
 MergeCounts Coordinator::mergeSnapshot(const Handover& handover, Micros age, Micros now) {
-    fresh_ = true;
+    changed_ = true;
     return knowledge_.merge(handover, age, now);
 }
 
-void Coordinator::answered(const std::string& peer, const std::optional<Handover>& handover, Micros transit,
-                           const std::string& wrong, Micros now) {
-    if (!asking_.awaits(peer)) return;
+void Coordinator::receiveHandover(const std::string& peer, const std::optional<Handover>& handover,
+                                  Micros transit, const std::string& error, Micros now) {
+    if (!queries_.isPending(peer)) return;
     if (!handover) {
-        asking_.failed(peer, now);
-        lines_.push_back("peer " + peer + " told nothing: " + wrong);
+        queries_.fail(peer, now);
+        logLines_.push_back("peer " + peer + " sent no handover: " + error);
         return;
     }
-    const MergeCounts counts = knowledge_.merge(*handover, transit + copyHolds_, now);
-    const bool useful = counts.taken + counts.known > 0 && knowledge_.knowsAnything(now);
-    asking_.answered(peer, useful, now);
-    fresh_ = true;
-    lines_.push_back("peer " + peer + " answered within " + std::to_string(transit / 1000) + " ms: " +
-                     std::to_string(counts.taken) + " facts taken, " + std::to_string(counts.known) +
-                     " known already, " + std::to_string(counts.refused) + " refused");
+    // The peer may have exported the handover up to the cache time before the query.
+    const MergeCounts counts = knowledge_.merge(*handover, transit + handoverCacheTime_, now);
+    const bool useful = counts.taken + counts.known > 0 && knowledge_.hasRecalled(now);
+    queries_.finish(peer, useful, now);
+    changed_ = true;
+    logLines_.push_back("peer " + peer + " answered within " + std::to_string(transit / 1000) + " ms: " +
+                        std::to_string(counts.taken) + " facts taken, " + std::to_string(counts.known) +
+                        " already known, " + std::to_string(counts.refused) + " refused");
 }
 
-void Coordinator::heard(const membership::PeerMessage& message, Micros now) {
-    for (auto& answer : peers_.received(message, now)) answers_.push_back(std::move(answer));
+void Coordinator::receiveMessage(const membership::PeerMessage& message, Micros now) {
+    for (auto& reply : peers_.received(message, now)) replies_.push_back(std::move(reply));
 }
 
-// What was told already is not told again: of a sum that has grown the rest goes.
-void Coordinator::tellSums(Micros now, CoordinatorActions& out) {
+// Emits each sum once. Of a sum that has grown since, only the difference is emitted.
+void Coordinator::addSums(Micros now, CoordinatorActions& out) {
     for (const RecalledSum& sum : knowledge_.recalled(now)) {
-        RecalledSum& before =
-            told_.try_emplace({sum.server, sum.zone}, RecalledSum{sum.server, sum.zone, 0, 0, 0})
+        RecalledSum& emitted =
+            emittedSums_.try_emplace({sum.server, sum.zone}, RecalledSum{sum.server, sum.zone, 0, 0, 0})
                 .first->second;
-        RecalledSum more = sum;
-        more.tries -= before.tries;
-        if (more.tries < 1) continue;
-        more.failed = std::clamp(sum.failed - before.failed, 0.0, more.tries);
-        before.tries += more.tries;
-        before.failed += more.failed;
-        out.sums.push_back(std::move(more));
+        RecalledSum added = sum;
+        added.tries -= emitted.tries;
+        if (added.tries < 1) continue;
+        added.failed = std::clamp(sum.failed - emitted.failed, 0.0, added.tries);
+        emitted.tries += added.tries;
+        emitted.failed += added.failed;
+        out.sums.push_back(std::move(added));
     }
 }
 
-void Coordinator::tellHolds(Micros now, CoordinatorActions& out) {
+void Coordinator::addHolds(Micros now, CoordinatorActions& out) {
     std::set<std::string> held = knowledge_.heldBack(now);
     for (const std::string& server : held) {
-        if (held_.count(server) == 0) out.holds.push_back({server, true});
+        if (heldBack_.count(server) == 0) out.holds.push_back({server, true});
     }
-    for (const std::string& server : held_) {
+    for (const std::string& server : heldBack_) {
         if (held.count(server) == 0) out.holds.push_back({server, false});
     }
-    held_ = std::move(held);
+    heldBack_ = std::move(held);
 }
 
-void Coordinator::tellPeers(Micros now, CoordinatorActions& out) {
+void Coordinator::addPeerActions(Micros now, CoordinatorActions& out) {
     if (!connected_) return;
-    for (auto& message : peers_.tick(now)) out.say.push_back(std::move(message));
+    for (auto& message : peers_.tick(now)) out.messages.push_back(std::move(message));
     for (const PeerEvent& event : peers_.takeEvents()) {
-        if (event.kind == PeerEvent::Kind::joined) asking_.know(event.name, now);
-        out.lines.push_back(told(event));
+        if (event.kind == PeerEvent::Kind::joined) queries_.addPeer(event.name, now);
+        out.logLines.push_back(describe(event));
     }
-    for (const std::string& peer : asking_.due(now)) out.ask.push_back({peer, peers_.addressOf(peer)});
+    for (const std::string& peer : queries_.takeDue(now))
+        out.queries.push_back({peer, peers_.addressOf(peer)});
 }
 
 CoordinatorActions Coordinator::due(Micros now) {
     CoordinatorActions out;
-    out.say = std::exchange(answers_, {});
-    out.lines = std::exchange(lines_, {});
-    tellPeers(now, out);
-    tellHolds(now, out);
-    if (std::exchange(fresh_, false) && asking_.open(now)) tellSums(now, out);
+    out.messages = std::exchange(replies_, {});
+    out.logLines = std::exchange(logLines_, {});
+    addPeerActions(now, out);
+    addHolds(now, out);
+    if (std::exchange(changed_, false) && queries_.windowOpen(now)) addSums(now, out);
     return out;
 }
 
 std::optional<Micros> Coordinator::nextDue(Micros now) const {
-    if (fresh_ || !answers_.empty() || !lines_.empty()) return now;
+    if (changed_ || !replies_.empty() || !logLines_.empty()) return now;
     std::optional<Micros> out;
-    const auto sooner = [&](std::optional<Micros> at) {
+    const auto useEarlier = [&](std::optional<Micros> at) {
         if (at && (!out || *at < *out)) out = at;
     };
     if (connected_) {
-        sooner(peers_.nextDue());
-        sooner(asking_.nextDue(now));
+        useEarlier(peers_.nextDue());
+        useEarlier(queries_.nextDue(now));
     }
-    if (!held_.empty()) sooner(now + 1000000);
+    if (!heldBack_.empty()) useEarlier(now + kHoldCheckInterval);
     return out;
 }
 
--- a/src/decisions/recovery/coordinator.h
+++ b/src/decisions/recovery/coordinator.h
@@ -1,5 +1,5 @@
-// What a planner remembers over a restart, from its snapshot and from its peers, as one machine without I/O:
-// what came goes in with the time, and what is to be told, asked and said comes out.
+// Coordinates what a planner keeps over a restart: facts from its snapshot and its peers, queries to peers
+// and peer membership. No I/O: inputs come with their time, and `due` returns what the caller has to do.
 #pragma once
 
 #include <cstdint>
@@ -18,31 +18,31 @@
 
 struct CoordinatorSettings {
     std::string self;
-    bool share = false;  // there are peers: they are asked, and who of them is there is watched
+    bool share = false;  // exchange facts with peers and track which of them are alive
     std::uint64_t incarnation = 0;
     std::uint64_t seed = 0;
-    std::vector<PeerPlace> peers;  // to begin with
+    std::vector<PeerPlace> peers;  // the peers known at the start
     KnowledgeRules knowledge;
-    AskRules ask;
+    PeerQueryRules peerQueries;
     membership::PeerRules membership;
 };
 
-// A box that our list has ready, and that is withdrawn all the same, or let back.
+// Starts or ends the withdrawal of a server that the own list has as ready.
 struct Hold {
     std::string server;
-    bool held = false;
+    bool held = false;  // false: the server is released
     bool operator==(const Hold&) const = default;
 };
 
-// What is to be done now.
+// What the caller has to do now.
 struct CoordinatorActions {
-    std::vector<Hold> holds;        // to the module, before the sums
-    std::vector<RecalledSum> sums;  // to the module
-    std::vector<PeerPlace> ask;     // what they know
-    std::vector<membership::PeerMessage> say;
-    std::vector<std::string> lines;  // of the log
+    std::vector<Hold> holds;        // for the decision module, before the sums
+    std::vector<RecalledSum> sums;  // for the decision module
+    std::vector<PeerPlace> queries;
+    std::vector<membership::PeerMessage> messages;
+    std::vector<std::string> logLines;
     [[nodiscard]] bool empty() const {
-        return holds.empty() && sums.empty() && ask.empty() && say.empty() && lines.empty();
+        return holds.empty() && sums.empty() && queries.empty() && messages.empty() && logLines.empty();
     }
 };
 
@@ -50,63 +50,67 @@
 public:
     Coordinator(const CoordinatorSettings& settings, Micros now);
 
-    // From here on peers can be reached, and reach us at this address.
+    // Starts communication with peers; they reach this instance at `address`.
     void connect(const std::string& address);
     void disconnect() { connected_ = false; }
 
-    // ---- What comes ----
+    // ---- Inputs ----
 
     void updateList(std::uint64_t version, const std::map<std::string, Knowledge::ListedServer>& all,
                     Micros now);
-    void recordOutcomes(const OutcomeObservation& sight, Micros now) {
-        knowledge_.recordOutcomes(sight, now);
+    void recordOutcomes(const OutcomeObservation& observation, Micros now) {
+        knowledge_.recordOutcomes(observation, now);
     }
-    void proxyJoined(std::uint32_t proxy, const std::string& zone) { zones_[proxy] = zone; }
+    void proxyJoined(std::uint32_t proxy, const std::string& zone) { proxyZones_[proxy] = zone; }
     void proxyLeft(std::uint32_t proxy);
-    void came(std::uint32_t proxy, const std::string& klass, double rate, Micros now);
+    // Request rate of a class at a proxy; ignored if the proxy has not joined.
+    void recordDemand(std::uint32_t proxy, const std::string& klass, double rate, Micros now);
 
-    // A snapshot of an earlier life, at the start.
+    // Merges a snapshot of an earlier run, at the start.
     MergeCounts mergeSnapshot(const Handover& handover, Micros age, Micros now);
-    // A peer's answer; nothing if it sent none that could be read, and why. What nobody asked for is dropped.
-    void answered(const std::string& peer, const std::optional<Handover>& handover, Micros transit,
-                  const std::string& wrong, Micros now);
-    // A peer's word on who is there.
-    void heard(const membership::PeerMessage& message, Micros now);
+    // Takes a peer's answer, or the reason why there is none. Answers that were not asked for are dropped.
+    void receiveHandover(const std::string& peer, const std::optional<Handover>& handover, Micros transit,
+                         const std::string& error, Micros now);
+    // Takes a membership message of a peer.
+    void receiveMessage(const membership::PeerMessage& message, Micros now);
 
-    // ---- What is to be done ----
+    // ---- Outputs ----
 
+    // Returns the actions that are due and marks them as done.
     [[nodiscard]] CoordinatorActions due(Micros now);
     [[nodiscard]] std::optional<Micros> nextDue(Micros now) const;
-    // The last words of an instance that ends in order.
+    // Messages that announce an orderly shutdown.
     [[nodiscard]] std::vector<membership::PeerMessage> leave(Micros now);
 
+    // Exports what is known, for a peer or a snapshot.
     [[nodiscard]] Handover handOver(Micros now) {
-        knowledge_.forget(now);
+        knowledge_.expire(now);
         return knowledge_.handOver(now);
     }
-    // Where a peer is reached; empty if it is not known.
+    // Address of a peer; empty if it is unknown.
     [[nodiscard]] std::string addressOf(const std::string& peer) const { return peers_.addressOf(peer); }
     [[nodiscard]] const Knowledge& knowledge() const { return knowledge_; }
     [[nodiscard]] const membership::Peers& peers() const { return peers_; }
-    [[nodiscard]] bool asking(Micros now) const { return !asking_.over(now); }
+    // Whether some peer may still be queried or has yet to answer.
+    [[nodiscard]] bool queriesPending(Micros now) const { return !queries_.finished(now); }
 
 private:
-    void tellSums(Micros now, CoordinatorActions& out);
-    void tellHolds(Micros now, CoordinatorActions& out);
-    void tellPeers(Micros now, CoordinatorActions& out);
+    void addSums(Micros now, CoordinatorActions& out);
+    void addHolds(Micros now, CoordinatorActions& out);
+    void addPeerActions(Micros now, CoordinatorActions& out);
 
     const bool share_;
-    const Micros copyHolds_;
+    const Micros handoverCacheTime_;
     bool connected_ = false;
     Knowledge knowledge_;
-    Asking asking_;
+    PeerQueries queries_;
     membership::Peers peers_;
-    std::map<std::uint32_t, std::string> zones_;                       // of our proxies
-    std::map<std::pair<std::string, std::string>, RecalledSum> told_;  // by server and zone
-    std::set<std::string> held_;
-    std::vector<membership::PeerMessage> answers_;
-    std::vector<std::string> lines_;
-    bool fresh_ = false;  // something has come that may have to be told
+    std::map<std::uint32_t, std::string> proxyZones_;                         // zone of each own proxy
+    std::map<std::pair<std::string, std::string>, RecalledSum> emittedSums_;  // by server and zone
+    std::set<std::string> heldBack_;
+    std::vector<membership::PeerMessage> replies_;
+    std::vector<std::string> logLines_;
+    bool changed_ = false;  // there may be sums to emit
 };
 
 }  // namespace marldale::recovery
--- a/src/decisions/recovery/knowledge.cpp
+++ b/src/decisions/recovery/knowledge.cpp
@@ -1,3 +1,4 @@
+// Recording, merging and aging of facts about servers.
 #include "recovery/knowledge.h"
 
 #include <algorithm>
@@ -7,99 +8,102 @@
 namespace marldale::recovery {
 namespace {
 
-constexpr std::size_t kNameMost = 128;
-constexpr std::uint32_t kTriesMost = 10'000'000;
-constexpr Micros kMeanMost = 60 * 1000000LL;
-constexpr Micros kSinceMost = 366LL * 24 * 3600 * 1000000;
-constexpr double kRateMost = 1e9;
+// Upper bounds for values that a peer reports; a fact that exceeds one is refused.
+constexpr std::size_t kMaxNameBytes = 128;
+constexpr std::uint32_t kMaxTries = 10'000'000;
+constexpr Micros kMaxMeanUs = 60 * 1000000LL;
+constexpr Micros kMaxDurationUs = 366LL * 24 * 3600 * 1000000;
+constexpr double kMaxRatePerS = 1e9;
 
-// gone is the most careful, ready the least.
-int carefulness(ServerState state) {
+// Orders states so that of two claims of the same list version the more restrictive one wins.
+int restrictiveness(ServerState state) {
     return state == ServerState::gone ? 2 : state == ServerState::draining ? 1 : 0;
 }
 
-bool isName(const std::string& name) { return !name.empty() && name.size() <= kNameMost; }
+bool isValidName(const std::string& name) { return !name.empty() && name.size() <= kMaxNameBytes; }
 
 }  // namespace
 
 Knowledge::Knowledge(std::string self, std::uint64_t incarnation, KnowledgeRules rules)
     : self_(std::move(self)), incarnation_(incarnation), rules_(rules) {}
 
-double Knowledge::weightOf(double tries, Micros age) const {
-    const double fade =
+double Knowledge::decayedTries(double tries, Micros age) const {
+    const double decay =
         std::exp2(-static_cast<double>(std::max<Micros>(age, 0)) / static_cast<double>(rules_.halfLife));
-    return std::min(tries, rules_.triesMost) * fade;
+    return std::min(tries, rules_.maxTries) * decay;
 }
 
-// Adds this share of another sum's tries.
-void Knowledge::Held::add(const Held& other, double share) {
-    const double good = tries - failed, more = share * (other.tries - other.failed);
-    if (good + more > 0) {
-        mean = std::llround((good * static_cast<double>(mean) + more * static_cast<double>(other.mean)) /
-                            (good + more));
+// Adds another sum, with its tries scaled by `share`.
+void Knowledge::StoredSum::addScaled(const StoredSum& other, double share) {
+    const double succeeded = tries - failed, added = share * (other.tries - other.failed);
+    if (succeeded + added > 0) {
+        mean =
+            std::llround((succeeded * static_cast<double>(mean) + added * static_cast<double>(other.mean)) /
+                         (succeeded + added));
     }
     tries += share * other.tries;
     failed += share * other.failed;
     if (load.empty()) load = other.load;
 }
 
-void Knowledge::recordOutcomes(const OutcomeObservation& sight, Micros now) {
-    if (sight.tries == 0) return;
+void Knowledge::recordOutcomes(const OutcomeObservation& observation, Micros now) {
+    if (observation.tries == 0) return;
     origins_.insert(self_);
-    const Place place{sight.server, sight.zone, self_};
-    Held row{sight.bootMs,
-             {incarnation_, 0},
-             now,
-             static_cast<double>(sight.tries),
-             static_cast<double>(std::min(sight.failed, sight.tries)),
-             sight.mean,
-             std::nullopt,
-             sight.load};
-    if (row.fails()) row.failsSince = now;
-    const auto known = sums_.find(place);
+    const FactKey key{observation.server, observation.zone, self_};
+    StoredSum row{observation.bootMs,
+                  {incarnation_, 0},
+                  now,
+                  static_cast<double>(observation.tries),
+                  static_cast<double>(std::min(observation.failed, observation.tries)),
+                  observation.mean,
+                  std::nullopt,
+                  observation.load};
+    if (row.failing()) row.failingSince = now;
+    const auto known = sums_.find(key);
     if (known == sums_.end() || known->second.version.incarnation != incarnation_ ||
-        known->second.bootMs != sight.bootMs) {
-        otherwise_.erase(place);  // the first row of this life
-    } else if (known->second.fails() == row.fails()) {
-        otherwise_.erase(place);
-        const Held& before = known->second;
-        // So many of the tries before are kept that all are no more than the window.
-        row.add(before, std::clamp((rules_.triesMost - row.tries) / before.tries, 0.0, 1.0));
-        if (row.fails() && before.failsSince) row.failsSince = before.failsSince;
-        if (!row.fails()) row.failsSince.reset();
+        known->second.bootMs != observation.bootMs) {
+        contradicting_.erase(key);  // the first row of this run, or of this boot of the server
+    } else if (known->second.failing() == row.failing()) {
+        contradicting_.erase(key);
+        const StoredSum& before = known->second;
+        // Scales the earlier tries down so that the total does not exceed `maxTries`.
+        row.addScaled(before, std::clamp((rules_.maxTries - row.tries) / before.tries, 0.0, 1.0));
+        if (row.failing() && before.failingSince) row.failingSince = before.failingSince;
+        if (!row.failing()) row.failingSince.reset();
     } else {
-        const auto [other, first] = otherwise_.try_emplace(place, row);
-        if (!first) {
-            if (other->second.failsSince) row.failsSince = other->second.failsSince;
-            row.add(other->second, 1);
-            other->second = row;
+        // Replaces the sum only once enough consecutive tries contradict it.
+        const auto [pending, inserted] = contradicting_.try_emplace(key, row);
+        if (!inserted) {
+            if (pending->second.failingSince) row.failingSince = pending->second.failingSince;
+            row.addScaled(pending->second, 1);
+            pending->second = row;
         }
-        if (row.tries < rules_.proofTries) return;
-        otherwise_.erase(place);
-        if (row.fails() == known->second.fails()) return;
+        if (row.tries < rules_.contradictionTries) return;
+        contradicting_.erase(key);
+        if (row.failing() == known->second.failing()) return;
     }
-    row.version.number = ++number_;
-    (void)take(place, std::move(row));
+    row.version.sequence = ++lastSequence_;
+    (void)storeSum(key, std::move(row));
 }
 
-void Knowledge::came(std::uint32_t proxy, const std::string& zone, const std::string& klass, double rate,
-                     Micros now) {
-    came_[{proxy, klass}] = {zone, rate, now};
+void Knowledge::recordDemand(std::uint32_t proxy, const std::string& zone, const std::string& klass,
+                             double rate, Micros now) {
+    ownDemand_[{proxy, klass}] = {zone, rate, now};
 }
 
-void Knowledge::left(std::uint32_t proxy) {
-    came_.erase(came_.lower_bound({proxy, ""}), came_.lower_bound({proxy + 1, ""}));
+void Knowledge::removeProxy(std::uint32_t proxy) {
+    ownDemand_.erase(ownDemand_.lower_bound({proxy, ""}), ownDemand_.lower_bound({proxy + 1, ""}));
 }
 
 std::vector<DemandFact> Knowledge::ownDemand(Micros now) const {
     std::map<std::pair<std::string, std::string>, DemandFact> all;
-    for (const auto& [key, came] : came_) {
-        const Micros age = std::max<Micros>(0, now - came.at);
-        if (age > rules_.demandHolds) continue;
-        DemandFact& fact = all[{came.zone, key.second}];
-        // As old as its youngest part; its number grows with that.
+    for (const auto& [key, sample] : ownDemand_) {
+        const Micros age = std::max<Micros>(0, now - sample.at);
+        if (age > rules_.demandLifetime) continue;
+        DemandFact& fact = all[{sample.zone, key.second}];
+        // The age is that of the most recent sample, so that the sequence below grows with each new sample.
         fact.age = fact.proxies == 0 ? age : std::min(fact.age, age);
-        fact.rate += came.rate;
+        fact.rate += sample.rate;
         ++fact.proxies;
     }
     std::vector<DemandFact> out;
@@ -112,115 +116,118 @@
     return out;
 }
 
-// Whether it says more than what is held.
-bool Knowledge::take(const Place& place, Held held) {
-    const auto known = sums_.find(place);
+// Returns true if the sum is new, replaces an older version, or makes the stored copy older.
+bool Knowledge::storeSum(const FactKey& key, StoredSum sum) {
+    const auto known = sums_.find(key);
     if (known == sums_.end()) {
-        if (sums_.size() >= rules_.factsMost) return false;
-        sums_.emplace(place, std::move(held));
+        if (sums_.size() >= rules_.maxFacts) return false;
+        sums_.emplace(key, std::move(sum));
         return true;
     }
-    Held& has = known->second;
-    if (held.version > has.version) {
-        has = std::move(held);
+    StoredSum& stored = known->second;
+    if (sum.version > stored.version) {
+        stored = std::move(sum);
         return true;
     }
-    // The same word by another way: it is as old as its older copy.
-    if (held.version == has.version && held.born < has.born) {
-        has.born = held.born;
-        if (held.failsSince)
-            has.failsSince = std::min(has.failsSince.value_or(*held.failsSince), *held.failsSince);
+    // The same version received by another path: the older copy determines the age.
+    if (sum.version == stored.version && sum.observedAt < stored.observedAt) {
+        stored.observedAt = sum.observedAt;
+        if (sum.failingSince)
+            stored.failingSince =
+                std::min(stored.failingSince.value_or(*sum.failingSince), *sum.failingSince);
         return true;
     }
     return false;
 }
 
-bool Knowledge::sane(const SumFact& fact) const {
-    return isName(fact.origin) && isName(fact.server) && isName(fact.zone) && fact.age >= 0 &&
-           fact.age <= rules_.ageMost && fact.tries > 0 && fact.tries <= kTriesMost &&
-           fact.failed <= fact.tries && fact.mean >= 0 && fact.mean <= kMeanMost && fact.bootMs >= 0 &&
-           fact.failsFor >= 0 && fact.failsFor <= kSinceMost && fact.load.size() <= rules_.loadsMost;
+bool Knowledge::isPlausible(const SumFact& fact) const {
+    return isValidName(fact.origin) && isValidName(fact.server) && isValidName(fact.zone) && fact.age >= 0 &&
+           fact.age <= rules_.maxAge && fact.tries > 0 && fact.tries <= kMaxTries &&
+           fact.failed <= fact.tries && fact.mean >= 0 && fact.mean <= kMaxMeanUs && fact.bootMs >= 0 &&
+           fact.failsFor >= 0 && fact.failsFor <= kMaxDurationUs && fact.load.size() <= rules_.maxLoadValues;
 }
 
-bool Knowledge::sane(const DemandFact& fact) const {
-    return isName(fact.origin) && isName(fact.zone) && isName(fact.klass) && fact.age >= 0 &&
-           fact.age <= rules_.ageMost && fact.rate >= 0 && fact.rate <= kRateMost && fact.proxies > 0;
+bool Knowledge::isPlausible(const DemandFact& fact) const {
+    return isValidName(fact.origin) && isValidName(fact.zone) && isValidName(fact.klass) && fact.age >= 0 &&
+           fact.age <= rules_.maxAge && fact.rate >= 0 && fact.rate <= kMaxRatePerS && fact.proxies > 0;
 }
 
-// Nobody tells us what we ourselves have seen in this life: it could only be older, or made up.
-bool Knowledge::admits(const std::string& origin, const FactVersion& word) {
-    if (origin == self_ && word.incarnation >= incarnation_) return false;
+// Refuses facts attributed to this instance in its current run: they can only be outdated or forged. Other
+// origins are admitted until `maxOrigins` are known.
+bool Knowledge::admitOrigin(const std::string& origin, const FactVersion& version) {
+    if (origin == self_ && version.incarnation >= incarnation_) return false;
     if (origins_.count(origin) != 0) return true;
-    if (origins_.size() >= rules_.originsMost) return false;
+    if (origins_.size() >= rules_.maxOrigins) return false;
     origins_.insert(origin);
     return true;
 }
 
 MergeCounts Knowledge::merge(const Handover& handover, Micros transit, Micros now) {
     MergeCounts out;
-    const Micros way = std::max<Micros>(transit, 0);
+    const Micros elapsed = std::max<Micros>(transit, 0);
     for (const SumFact& fact : handover.sums) {
-        if (!sane(fact) || !admits(fact.origin, fact.version)) {
+        if (!isPlausible(fact) || !admitOrigin(fact.origin, fact.version)) {
             ++out.refused;
             continue;
         }
-        Held held{fact.bootMs,
-                  fact.version,
-                  now - fact.age - way,
-                  static_cast<double>(fact.tries),
-                  static_cast<double>(fact.failed),
-                  fact.mean,
-                  std::nullopt,
-                  fact.load};
-        if (fact.failsFor > 0) held.failsSince = now - fact.failsFor - way;
-        ++(take({fact.server, fact.zone, fact.origin}, std::move(held)) ? out.taken : out.known);
+        StoredSum sum{fact.bootMs,
+                      fact.version,
+                      now - fact.age - elapsed,
+                      static_cast<double>(fact.tries),
+                      static_cast<double>(fact.failed),
+                      fact.mean,
+                      std::nullopt,
+                      fact.load};
+        if (fact.failsFor > 0) sum.failingSince = now - fact.failsFor - elapsed;
+        ++(storeSum({fact.server, fact.zone, fact.origin}, std::move(sum)) ? out.taken : out.known);
     }
-    for (const ListedFact& fact : handover.listed) mergeListed(fact, way, now, out);
-    for (const DemandFact& fact : handover.demand) mergeDemand(fact, way, now, out);
+    for (const ListedFact& fact : handover.listed) mergeListed(fact, elapsed, now, out);
+    for (const DemandFact& fact : handover.demand) mergeDemand(fact, elapsed, now, out);
     return out;
 }
 
 void Knowledge::mergeListed(const ListedFact& fact, Micros transit, Micros now, MergeCounts& out) {
-    if (!isName(fact.server) || fact.bootMs < 0 || fact.since < 0 || fact.since > kSinceMost) {
+    if (!isValidName(fact.server) || fact.bootMs < 0 || fact.since < 0 || fact.since > kMaxDurationUs) {
         ++out.refused;
         return;
     }
-    if (fact.version <= version_) {  // our own list knows better
+    if (fact.version <= listVersion_) {  // the own list is at least as recent
         ++out.known;
         return;
     }
-    const auto known = others_.find(fact.server);
-    if (known == others_.end() && others_.size() >= rules_.boxesMost) {
+    const auto known = newerListings_.find(fact.server);
+    if (known == newerListings_.end() && newerListings_.size() >= rules_.maxServers) {
         ++out.refused;
         return;
     }
-    ListedFact mine = fact;
-    mine.since += transit;
+    ListedFact aged = fact;
+    aged.since += transit;
     const auto rank = [](const ListedFact& f) {
-        return std::tuple(f.version, carefulness(f.state), f.bootMs);
+        return std::tuple(f.version, restrictiveness(f.state), f.bootMs);
     };
-    if (known == others_.end()) {
-        others_[fact.server] = {std::move(mine), now};
+    if (known == newerListings_.end()) {
+        newerListings_[fact.server] = {std::move(aged), now};
     } else if (rank(fact) > rank(known->second.fact)) {
-        known->second.fact = std::move(mine);  // the first word of a newer list began the hold
+        known->second.fact =
+            std::move(aged);  // `firstHeardAt` stays: repeating a claim does not extend a hold
     }
     ++out.taken;
 }
 
 void Knowledge::mergeDemand(const DemandFact& fact, Micros transit, Micros now, MergeCounts& out) {
-    const bool room =
-        demand_.size() < rules_.factsMost || demand_.count({fact.zone, fact.klass, fact.origin}) != 0;
-    if (!sane(fact) || !room || !admits(fact.origin, fact.version)) {
+    const bool hasRoom =
+        peerDemand_.size() < rules_.maxFacts || peerDemand_.count({fact.zone, fact.klass, fact.origin}) != 0;
+    if (!isPlausible(fact) || !hasRoom || !admitOrigin(fact.origin, fact.version)) {
         ++out.refused;
         return;
     }
-    HeldDemand& has = demand_.try_emplace({fact.zone, fact.klass, fact.origin}).first->second;
-    const Micros born = now - fact.age - transit;
-    if (fact.version > has.version) {
-        has = {fact.version, born, fact.rate, fact.proxies};
+    StoredDemand& stored = peerDemand_.try_emplace({fact.zone, fact.klass, fact.origin}).first->second;
+    const Micros observedAt = now - fact.age - transit;
+    if (fact.version > stored.version) {
+        stored = {fact.version, observedAt, fact.rate, fact.proxies};
         ++out.taken;
     } else {
-        if (fact.version == has.version) has.born = std::min(has.born, born);
+        if (fact.version == stored.version) stored.observedAt = std::min(stored.observedAt, observedAt);
         ++out.known;
     }
 }
@@ -228,87 +235,88 @@
 Handover Knowledge::handOver(Micros now) const {
     Handover out;
     out.from = self_;
-    for (const auto& [place, held] : sums_) {
-        const auto& [server, zone, origin] = place;
-        const Micros age = now - held.born;
-        if (age > rules_.ageMost || weightOf(held.tries, age) < 1) continue;
-        const auto tries = static_cast<std::uint32_t>(std::llround(held.tries));
-        const auto failed = static_cast<std::uint32_t>(std::llround(held.failed));
-        const Micros failsFor = held.failsSince ? std::max<Micros>(now - *held.failsSince, 1) : 0;
-        out.sums.push_back({origin, server, zone, held.bootMs, held.version, std::max<Micros>(age, 0), tries,
-                            std::min(failed, tries), held.mean, std::min(failsFor, kSinceMost), held.load});
+    for (const auto& [key, sum] : sums_) {
+        const auto& [server, zone, origin] = key;
+        const Micros age = now - sum.observedAt;
+        if (age > rules_.maxAge || decayedTries(sum.tries, age) < 1) continue;
+        const auto tries = static_cast<std::uint32_t>(std::llround(sum.tries));
+        const auto failed = static_cast<std::uint32_t>(std::llround(sum.failed));
+        const Micros failsFor = sum.failingSince ? std::max<Micros>(now - *sum.failingSince, 1) : 0;
+        out.sums.push_back({origin, server, zone, sum.bootMs, sum.version, std::max<Micros>(age, 0), tries,
+                            std::min(failed, tries), sum.mean, std::min(failsFor, kMaxDurationUs), sum.load});
     }
-    for (const auto& [server, own] : list_) {
-        const Micros since = std::clamp<Micros>(now - own.since, 0, kSinceMost);
-        out.listed.push_back({server, version_, own.listed.state, own.listed.bootMs, since});
+    for (const auto& [server, own] : ownList_) {
+        const Micros since = std::clamp<Micros>(now - own.since, 0, kMaxDurationUs);
+        out.listed.push_back({server, listVersion_, own.listed.state, own.listed.bootMs, since});
     }
-    // What newer lists than ours said goes on too, under their version.
-    for (const auto& [server, claim] : others_) out.listed.push_back(claim.fact);
+    // Entries of lists newer than the own one are passed on under their own version.
+    for (const auto& [server, newer] : newerListings_) out.listed.push_back(newer.fact);
     out.demand = ownDemand(now);
-    for (const auto& [place, held] : demand_) {
-        const Micros age = std::max<Micros>(0, now - held.born);
-        if (age > rules_.demandHolds) continue;
-        out.demand.push_back({std::get<2>(place), std::get<0>(place), std::get<1>(place), held.version, age,
-                              held.rate, held.proxies});
+    for (const auto& [key, demand] : peerDemand_) {
+        const Micros age = std::max<Micros>(0, now - demand.observedAt);
+        if (age > rules_.demandLifetime) continue;
+        out.demand.push_back({std::get<2>(key), std::get<0>(key), std::get<1>(key), demand.version, age,
+                              demand.rate, demand.proxies});
     }
     return out;
 }
 
 void Knowledge::updateList(std::uint64_t version, const std::map<std::string, ListedServer>& all,
                            Micros now) {
-    version_ = std::max(version_, version);
-    std::map<std::string, Own> next;
+    listVersion_ = std::max(listVersion_, version);
+    std::map<std::string, OwnListing> next;
     for (const auto& [server, listed] : all) {
-        const auto before = list_.find(server);
-        const bool same = before != list_.end() && before->second.listed.state == listed.state &&
+        const auto before = ownList_.find(server);
+        const bool same = before != ownList_.end() && before->second.listed.state == listed.state &&
                           before->second.listed.bootMs == listed.bootMs;
         next[server] = {listed, same ? before->second.since : now};
     }
-    list_ = std::move(next);
-    std::erase_if(others_, [this](const auto& o) { return o.second.fact.version <= version_; });
-    // Facts of an earlier boot are of another life of that box.
+    ownList_ = std::move(next);
+    std::erase_if(newerListings_, [this](const auto& o) { return o.second.fact.version <= listVersion_; });
+    // Facts about an earlier boot of a server do not apply to its current process.
     std::erase_if(sums_, [this](const auto& s) {
-        const auto at = list_.find(std::get<0>(s.first));
-        return at != list_.end() && s.second.bootMs < at->second.listed.bootMs;
+        const auto at = ownList_.find(std::get<0>(s.first));
+        return at != ownList_.end() && s.second.bootMs < at->second.listed.bootMs;
     });
 }
 
 std::vector<RecalledSum> Knowledge::recalled(Micros now) const {
     std::vector<RecalledSum> out;
-    double weighted = 0;  // of means
-    const auto close = [&] {
+    double weightedMeans = 0;  // of the group being summed: successful tries times their mean
+    const auto finishGroup = [&] {
         if (out.empty()) return;
         RecalledSum& last = out.back();
-        const double good = last.tries - last.failed;
-        last.mean = good > 0 ? std::llround(weighted / good) : 0;
-        const double scale = std::min(1.0, rules_.allOriginsMost / std::max(last.tries, 1e-9));
+        const double succeeded = last.tries - last.failed;
+        last.mean = succeeded > 0 ? std::llround(weightedMeans / succeeded) : 0;
+        const double scale = std::min(1.0, rules_.maxRecalledTries / std::max(last.tries, 1e-9));
         last.tries *= scale;
         last.failed *= scale;
-        weighted = 0;
+        weightedMeans = 0;
         if (last.tries < 1) out.pop_back();
     };
-    for (const auto& [place, held] : sums_) {
-        const auto& [server, zone, origin] = place;
-        const auto at = list_.find(server);
-        if (at == list_.end() || at->second.listed.state != ServerState::ready ||
-            at->second.listed.bootMs != held.bootMs || seenLive(server, zone))
+    // The map is ordered by server and zone, so the origins of one group are adjacent.
+    for (const auto& [key, sum] : sums_) {
+        const auto& [server, zone, origin] = key;
+        const auto at = ownList_.find(server);
+        if (at == ownList_.end() || at->second.listed.state != ServerState::ready ||
+            at->second.listed.bootMs != sum.bootMs || observedThisRun(server, zone))
             continue;
-        const double weight = weightOf(held.tries, now - held.born);
+        const double weight = decayedTries(sum.tries, now - sum.observedAt);
         if (weight <= 0) continue;
         if (out.empty() || out.back().server != server || out.back().zone != zone) {
-            close();
+            finishGroup();
             out.push_back({server, zone, 0, 0, 0});
         }
-        const double share = weight / held.tries;
+        const double share = weight / sum.tries;
         out.back().tries += weight;
-        out.back().failed += share * held.failed;
-        weighted += share * (held.tries - held.failed) * static_cast<double>(held.mean);
+        out.back().failed += share * sum.failed;
+        weightedMeans += share * (sum.tries - sum.failed) * static_cast<double>(sum.mean);
     }
-    close();
+    finishGroup();
     return out;
 }
 
-bool Knowledge::seenLive(const std::string& server, const std::string& zone) const {
+bool Knowledge::observedThisRun(const std::string& server, const std::string& zone) const {
     const auto own = sums_.find({server, zone, self_});
     return own != sums_.end() && own->second.version.incarnation == incarnation_;
 }
@@ -316,30 +324,31 @@
 std::set<std::string> Knowledge::heldBack(Micros now) const {
     std::set<std::string> out;
     std::size_t ready = 0;
-    for (const auto& [server, own] : list_) {
+    for (const auto& [server, own] : ownList_) {
         if (own.listed.state != ServerState::ready) continue;
         ++ready;
-        const auto other = others_.find(server);
-        if (other == others_.end() || now - other->second.heard >= rules_.holdMost) continue;
-        const ListedFact& fact = other->second.fact;
-        // Of an earlier boot than our list has it says nothing of this life.
+        const auto newer = newerListings_.find(server);
+        if (newer == newerListings_.end() || now - newer->second.firstHeardAt >= rules_.maxHold) continue;
+        const ListedFact& fact = newer->second.fact;
+        // A claim about an earlier boot than the own list has does not apply to the current process.
         if (fact.state != ServerState::ready && fact.bootMs >= own.listed.bootMs) out.insert(server);
     }
     if (out.size() == ready) out.clear();
     return out;
 }
 
-void Knowledge::forget(Micros now) {
+void Knowledge::expire(Micros now) {
     std::erase_if(sums_, [&](const auto& s) {
-        const Micros age = now - s.second.born;
-        return age > rules_.ageMost || weightOf(s.second.tries, age) < 1;
+        const Micros age = now - s.second.observedAt;
+        return age > rules_.maxAge || decayedTries(s.second.tries, age) < 1;
     });
-    std::erase_if(otherwise_, [&](const auto& o) { return sums_.count(o.first) == 0; });
-    std::erase_if(demand_, [&](const auto& d) { return now - d.second.born > rules_.demandHolds; });
-    std::erase_if(came_, [&](const auto& c) { return now - c.second.at > rules_.demandHolds; });
+    std::erase_if(contradicting_, [&](const auto& o) { return sums_.count(o.first) == 0; });
+    std::erase_if(peerDemand_,
+                  [&](const auto& d) { return now - d.second.observedAt > rules_.demandLifetime; });
+    std::erase_if(ownDemand_, [&](const auto& c) { return now - c.second.at > rules_.demandLifetime; });
     origins_.clear();
-    for (const auto& [place, held] : sums_) origins_.insert(std::get<2>(place));
-    for (const auto& [place, held] : demand_) origins_.insert(std::get<2>(place));
+    for (const auto& [key, sum] : sums_) origins_.insert(std::get<2>(key));
+    for (const auto& [key, demand] : peerDemand_) origins_.insert(std::get<2>(key));
 }
 
 }  // namespace marldale::recovery
--- a/src/decisions/recovery/knowledge.h
+++ b/src/decisions/recovery/knowledge.h
@@ -1,8 +1,10 @@
-// What is known of the boxes, by whom, and how old it is. No I/O; `now` is this holder's steady time.
+// What an instance of the planner knows about the servers: outcomes of tries, demand, and entries of server
+// lists, each with its origin and age. No I/O; `now` is this instance's steady clock.
 //
-// A fact has one place for each origin, the instance that saw it. Of two copies of a place the one with the
-// higher number of its origin counts, and of two with the same number the older: so merging is commutative,
-// associative and idempotent, hearsay counts once however it came, and passing on can only age a fact.
+// A fact is stored once for each origin, the instance that observed it. Of two copies, the one with the
+// higher version of its origin wins; of two copies with the same version, the older one. Merging is therefore
+// commutative, associative and idempotent, a fact counts once whatever path it took, and forwarding can only
+// make it older.
 #pragma once
 
 #include <cstdint>
@@ -17,47 +19,51 @@
 
 namespace marldale::recovery {
 
-// Whose sight, and which of its words. `incarnation`: new with each start of the origin.
+// Orders the versions of a fact from one origin.
 struct FactVersion {
-    std::uint64_t incarnation = 0, number = 0;
+    std::uint64_t incarnation = 0;  // new with each start of the origin
+    std::uint64_t sequence = 0;
     auto operator<=>(const FactVersion&) const = default;
 };
 
-// What an origin's proxies of a zone met at a box, of late: a box that is ejected has few tries, so evidence
-// is counted in tries, not in seconds. A few tries in a row that tell otherwise begin a new sum.
+// Recent outcomes of one zone's proxies at one server, as summed up by one origin. An ejected server gets few
+// tries, so evidence is limited by the number of tries and not by a time window. A few consecutive tries that
+// contradict the sum start a new one.
 struct SumFact {
     std::string origin, server, zone;
-    std::int64_t bootMs = 0;  // as the list has it
+    std::int64_t bootMs = 0;  // start time of the server process, from the server list
     FactVersion version;
-    Micros age = 0;  // of its last row
+    Micros age = 0;  // since the last row that was added
     std::uint32_t tries = 0, failed = 0;
-    Micros mean = 0;      // of those that did not fail
-    Micros failsFor = 0;  // how long half of its tries or more have failed; 0: they do not
-    std::map<std::string, double> load = {};  // the server's last word on itself, by the name of the value
+    Micros mean = 0;      // duration of the tries that succeeded
+    Micros failsFor = 0;  // how long at least half of the tries have failed; 0: they do not
+    std::map<std::string, double> load = {};  // last load report of the server, by the name of the value
     bool operator==(const SumFact&) const = default;
 };
 
-// Requests of a class that came to an origin's proxies of a zone.
+// Request rate of one class at an origin's proxies in one zone.
 struct DemandFact {
     std::string origin, zone, klass;
     FactVersion version;
     Micros age = 0;
-    double rate = 0;  // a second
+    double rate = 0;  // requests a second
     std::uint32_t proxies = 0;
     bool operator==(const DemandFact&) const = default;
 };
 
-// What an origin's list said of a box. The list's versions are discovery's, the same for everybody.
+// One server's entry in an instance's server list. List versions come from discovery and are the same for
+// every instance.
 struct ListedFact {
     std::string server;
-    std::uint64_t version = 0;
+    std::uint64_t version = 0;  // of the list
     ServerState state = ServerState::ready;
     std::int64_t bootMs = 0;
-    Micros since = 0;  // how long the teller's list has had it so; for people
+    Micros since = 0;  // how long the entry has been unchanged; for display only
     bool operator==(const ListedFact&) const = default;
 };
 
-// What one instance hands to another. Ages are as of the handing over.
+// The facts that one instance passes to another or writes to a snapshot. Ages are relative to the time of the
+// export.
 struct Handover {
     std::string from;
     std::vector<SumFact> sums;
@@ -66,29 +72,32 @@
     bool operator==(const Handover&) const = default;
 };
 
+// Limits and time constants of `Knowledge`.
 struct KnowledgeRules {
-    Micros halfLife = 20 * 1000000LL;
-    double triesMost = 64;                // of a fact, whatever it claims, and of own evidence that is kept
-    double proofTries = 4;                // so many in a row that tell otherwise begin a new sum
-    Micros demandHolds = 30 * 1000000LL;  // after a proxy's last word
-    Micros holdMost = 60 * 1000000LL;  // no list is so late: a newer one that has not come by then never was
-    double allOriginsMost = 128;       // of a server and zone
-    Micros ageMost = 600 * 1000000LL;
-    std::size_t factsMost = 65536, originsMost = 32, boxesMost = 8192, loadsMost = 16;
+    Micros halfLife = 20 * 1000000LL;        // of the weight of a sum
+    double maxTries = 64;                    // weight of one sum, whatever it claims, and size of an own sum
+    double contradictionTries = 4;           // consecutive contradicting tries that start a new sum
+    Micros demandLifetime = 30 * 1000000LL;  // after a proxy's last report
+    Micros maxHold = 60 * 1000000LL;         // a newer list that has not arrived by then does not exist
+    double maxRecalledTries = 128;           // of one server and zone, over all origins
+    Micros maxAge = 600 * 1000000LL;
+    std::size_t maxFacts = 65536, maxOrigins = 32, maxServers = 8192, maxLoadValues = 16;
 };
 
+// Result of a merge: facts that added something, facts that were known already, and facts that were invalid
+// or exceeded a limit.
 struct MergeCounts {
     std::size_t taken = 0, known = 0, refused = 0;
 };
 
-// A sum as the module may be told it: aged, all origins together.
+// Sum of all origins for one server and zone, weighted by age, for the decision module.
 struct RecalledSum {
     std::string server, zone;
     double tries = 0, failed = 0;
     Micros mean = 0;
 };
 
-// A row of a report, as it is seen.
+// One row of a proxy's or collector's report, as this instance received it.
 struct OutcomeObservation {
     std::string server, zone;
     std::int64_t bootMs = 0;
@@ -97,93 +106,101 @@
     std::map<std::string, double> load = {};
 };
 
+// Stores the facts of this instance and of its peers.
 class Knowledge {
 public:
+    // `self`: name of this instance; `incarnation`: higher than at any earlier start.
     Knowledge(std::string self, std::uint64_t incarnation, KnowledgeRules rules = {});
 
-    // Own sight, of just now.
-    void recordOutcomes(const OutcomeObservation& sight, Micros now);
-    void came(std::uint32_t proxy, const std::string& zone, const std::string& klass, double rate,
-              Micros now);
-    void left(std::uint32_t proxy);
-    // Our own list: what it names is there, with this boot and state; what it does not name is not.
+    // Adds outcomes that this instance has just observed.
+    void recordOutcomes(const OutcomeObservation& observation, Micros now);
+    // Replaces the request rate of a class at one of this instance's proxies.
+    void recordDemand(std::uint32_t proxy, const std::string& zone, const std::string& klass, double rate,
+                      Micros now);
+    // Drops the demand of a proxy that has left.
+    void removeProxy(std::uint32_t proxy);
+
     struct ListedServer {
         ServerState state = ServerState::ready;
         std::int64_t bootMs = 0;
     };
+    // Replaces the own server list; servers that are not in `all` are no longer listed.
     void updateList(std::uint64_t version, const std::map<std::string, ListedServer>& all, Micros now);
 
-    // `transit`: the whole time from asking to having it, by our clock.
+    // Merges the facts of another instance or of a snapshot. `transit`: time from the request until the
+    // arrival, on this instance's clock; it is added to the facts' ages.
     MergeCounts merge(const Handover& handover, Micros transit, Micros now);
+    // Exports all facts that are recent enough to be of use.
     [[nodiscard]] Handover handOver(Micros now) const;
 
-    // Of boxes that our list has ready, with the boot that it has. Not where this life has seen for itself:
-    // what is live is not diluted.
+    // Sums for servers that the own list has as ready with the same boot time. Excludes each server and zone
+    // that this instance has observed in its current run, so that live evidence is not diluted.
     [[nodiscard]] std::vector<RecalledSum> recalled(Micros now) const;
-    // Boxes that our list has ready, and a newer list than ours did not, until our own has that version or so
-    // long that it can't be merely late. None at all if that would be every box that is ready: such a list is
-    // of another fleet, and no planner may be left without a box.
+    // Servers that are ready in the own list but not in a newer list of a peer. A server is held back until
+    // the own list reaches that version, or for `maxHold`. Empty if it would hold every ready server: such a
+    // list belongs to another fleet, and a planner must not be left without servers.
     [[nodiscard]] std::set<std::string> heldBack(Micros now) const;
-    // What is too old to say anything.
-    void forget(Micros now);
+    // Removes facts that are too old to carry weight.
+    void expire(Micros now);
 
-    [[nodiscard]] double weightOf(double tries, Micros age) const;
-    [[nodiscard]] std::size_t facts() const { return sums_.size(); }
-    // Of boxes that our list has: whether a handover has said anything of use.
-    [[nodiscard]] bool knowsAnything(Micros now) const { return !recalled(now).empty(); }
-    [[nodiscard]] std::uint64_t listVersion() const { return version_; }
+    // The weight of so many tries at that age: at most `maxTries`, halved every `halfLife`.
+    [[nodiscard]] double decayedTries(double tries, Micros age) const;
+    [[nodiscard]] std::size_t factCount() const { return sums_.size(); }
+    // Whether there are sums to recall for servers in the own list.
+    [[nodiscard]] bool hasRecalled(Micros now) const { return !recalled(now).empty(); }
+    [[nodiscard]] std::uint64_t listVersion() const { return listVersion_; }
 
 private:
-    using Place = std::tuple<std::string, std::string, std::string>;  // server, zone, origin
-    struct Held {
+    using FactKey = std::tuple<std::string, std::string, std::string>;  // server, zone, origin
+    struct StoredSum {
         std::int64_t bootMs = 0;
         FactVersion version;
-        Micros born = 0;  // in our steady time, as `failsSince`
+        Micros observedAt = 0;  // on this instance's steady clock, as is `failingSince`
         double tries = 0, failed = 0;
         Micros mean = 0;
-        std::optional<Micros> failsSince;
+        std::optional<Micros> failingSince;
         std::map<std::string, double> load;
-        [[nodiscard]] bool fails() const { return 2 * failed >= tries; }
-        void add(const Held& other, double share);
+        [[nodiscard]] bool failing() const { return 2 * failed >= tries; }
+        void addScaled(const StoredSum& other, double share);
     };
-    struct HeldDemand {
+    struct StoredDemand {
         FactVersion version;
-        Micros born = 0;
+        Micros observedAt = 0;
         double rate = 0;
         std::uint32_t proxies = 0;
     };
-    struct Claim {  // of a newer list than ours
+    struct NewerListing {  // an entry of a list newer than the own one
         ListedFact fact;
-        Micros heard = 0;
+        Micros firstHeardAt = 0;
     };
-    struct Own {
+    struct OwnListing {
         ListedServer listed;
         Micros since = 0;
     };
-    struct Came {
+    struct DemandSample {
         std::string zone;
         double rate = 0;
         Micros at = 0;
     };
-    [[nodiscard]] bool sane(const SumFact& fact) const;
-    [[nodiscard]] bool sane(const DemandFact& fact) const;
-    [[nodiscard]] bool admits(const std::string& origin, const FactVersion& word);
-    [[nodiscard]] bool take(const Place& place, Held held);
+    [[nodiscard]] bool isPlausible(const SumFact& fact) const;
+    [[nodiscard]] bool isPlausible(const DemandFact& fact) const;
+    [[nodiscard]] bool admitOrigin(const std::string& origin, const FactVersion& version);
+    [[nodiscard]] bool storeSum(const FactKey& key, StoredSum sum);
     void mergeDemand(const DemandFact& fact, Micros transit, Micros now, MergeCounts& out);
     void mergeListed(const ListedFact& fact, Micros transit, Micros now, MergeCounts& out);
-    [[nodiscard]] bool seenLive(const std::string& server, const std::string& zone) const;
+    [[nodiscard]] bool observedThisRun(const std::string& server, const std::string& zone) const;
     [[nodiscard]] std::vector<DemandFact> ownDemand(Micros now) const;
 
     const std::string self_;
     const std::uint64_t incarnation_;
     const KnowledgeRules rules_;
-    std::uint64_t number_ = 0, version_ = 0;
-    std::map<Place, Held> sums_;
-    std::map<Place, Held> otherwise_;     // own rows that tell otherwise than the sum, and are no proof yet
-    std::map<Place, HeldDemand> demand_;  // of others: zone, class, origin
-    std::map<std::pair<std::uint32_t, std::string>, Came> came_;  // own, by proxy and class
-    std::map<std::string, Claim> others_;
-    std::map<std::string, Own> list_;  // ours
+    std::uint64_t lastSequence_ = 0, listVersion_ = 0;
+    std::map<FactKey, StoredSum> sums_;
+    std::map<FactKey, StoredSum> contradicting_;  // own rows that contradict the sum, too few to replace it
+    std::map<FactKey, StoredDemand> peerDemand_;  // by zone, class and origin
+    std::map<std::pair<std::uint32_t, std::string>, DemandSample> ownDemand_;  // by proxy and class
+    std::map<std::string, NewerListing> newerListings_;
+    std::map<std::string, OwnListing> ownList_;
     std::set<std::string> origins_;
 };
 
--- a/src/decisions/recovery/snapshot.cpp
+++ b/src/decisions/recovery/snapshot.cpp
@@ -1,3 +1,4 @@
+// Encoding, atomic replacement and reading of snapshot files.
 #include "recovery/snapshot.h"
 
 #define XXH_INLINE_ALL
@@ -17,20 +18,22 @@
 namespace {
 
 constexpr std::string_view kMagic = "MRLS";
-constexpr std::size_t kHead = 20, kHashAt = 12;
+constexpr std::size_t kHeaderBytes = 20, kChecksumOffset = 12;
 
-std::uint64_t hashOf(std::string_view bytes) {
+// XXH64 of all bytes but the magic and the hash itself.
+std::uint64_t checksumOf(std::string_view bytes) {
     XXH64_state_t state;
     XXH64_reset(&state, 0);
-    XXH64_update(&state, bytes.data() + kMagic.size(), kHashAt - kMagic.size());
-    XXH64_update(&state, bytes.data() + kHead, bytes.size() - kHead);
+    XXH64_update(&state, bytes.data() + kMagic.size(), kChecksumOffset - kMagic.size());
+    XXH64_update(&state, bytes.data() + kHeaderBytes, bytes.size() - kHeaderBytes);
     return XXH64_digest(&state);
 }
 
-[[noreturn]] void failed(const std::string& what) {
+[[noreturn]] void throwErrno(const std::string& what) {
     throw std::runtime_error(what + ": " + std::strerror(errno));
 }
 
+// Closes a file descriptor at the end of its scope.
 class Descriptor {
 public:
     explicit Descriptor(int fd) : fd_(fd) {}
@@ -52,74 +55,74 @@
     bytes::putFixed<std::int64_t>(out, snapshot.wallUs);
     bytes::putFixed<std::uint64_t>(out, 0);
     out += encode(snapshot.handover);
-    std::string hash;
-    bytes::putFixed<std::uint64_t>(hash, hashOf(out));
-    return out.replace(kHashAt, hash.size(), hash);
+    std::string checksum;
+    bytes::putFixed<std::uint64_t>(checksum, checksumOf(out));
+    return out.replace(kChecksumOffset, checksum.size(), checksum);
 }
 
-std::optional<Snapshot> decodeSnapshot(std::string_view bytes, std::string& wrong) {
-    if (bytes.size() < kHead || !bytes.starts_with(kMagic)) {
-        wrong = "this is no snapshot of knowledge";
+std::optional<Snapshot> decodeSnapshot(std::string_view bytes, std::string& error) {
+    if (bytes.size() < kHeaderBytes || !bytes.starts_with(kMagic)) {
+        error = "not a knowledge snapshot";
         return std::nullopt;
     }
-    if (hashOf(bytes) != bytes::fixedAt<std::uint64_t>(bytes, kHashAt)) {
-        wrong = "it is torn or damaged";
+    if (checksumOf(bytes) != bytes::fixedAt<std::uint64_t>(bytes, kChecksumOffset)) {
+        error = "truncated or corrupt";
         return std::nullopt;
     }
-    auto handover = decode(bytes.substr(kHead), wrong);
+    auto handover = decode(bytes.substr(kHeaderBytes), error);
     if (!handover) return std::nullopt;
     return Snapshot{std::move(*handover), bytes::fixedAt<std::int64_t>(bytes, kMagic.size())};
 }
 
 void writeSnapshot(const std::string& path, const Snapshot& snapshot) {
-    const std::string part = path + ".part", bytes = encode(snapshot);
+    const std::string temporary = path + ".part", bytes = encode(snapshot);
     {
-        const Descriptor file(::open(part.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-        if (file.get() < 0) failed("can't write " + part);
-        std::size_t done = 0;
-        while (done < bytes.size()) {
-            const ssize_t wrote = ::write(file.get(), bytes.data() + done, bytes.size() - done);
-            if (wrote < 0 && errno == EINTR) continue;
-            if (wrote <= 0) {
+        const Descriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+        if (file.get() < 0) throwErrno("cannot write " + temporary);
+        std::size_t written = 0;
+        while (written < bytes.size()) {
+            const ssize_t count = ::write(file.get(), bytes.data() + written, bytes.size() - written);
+            if (count < 0 && errno == EINTR) continue;
+            if (count <= 0) {
                 const int error = errno;
-                ::unlink(part.c_str());
+                ::unlink(temporary.c_str());
                 errno = error;
-                failed("can't write " + part);
+                throwErrno("cannot write " + temporary);
             }
-            done += static_cast<std::size_t>(wrote);
+            written += static_cast<std::size_t>(count);
         }
-        if (fsync(file.get()) != 0) failed("can't write " + part);
+        if (fsync(file.get()) != 0) throwErrno("cannot write " + temporary);
     }
-    if (std::rename(part.c_str(), path.c_str()) != 0) failed("can't write " + path);
+    if (std::rename(temporary.c_str(), path.c_str()) != 0) throwErrno("cannot write " + path);
 }
 
-std::optional<Snapshot> readSnapshot(const std::string& path, std::string& wrong) {
-    wrong.clear();
+std::optional<Snapshot> readSnapshot(const std::string& path, std::string& error) {
+    error.clear();
     const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
     if (file.get() < 0) {
-        if (errno != ENOENT) wrong = std::string("can't be opened: ") + std::strerror(errno);
+        if (errno != ENOENT) error = std::string("cannot be opened: ") + std::strerror(errno);
         return std::nullopt;
     }
     std::string bytes;
-    std::array<char, 65536> piece{};
+    std::array<char, 65536> buffer{};
     for (;;) {
-        const ssize_t got = ::read(file.get(), piece.data(), piece.size());
-        if (got < 0 && errno == EINTR) continue;
-        if (got < 0) {
-            wrong = std::string("can't be read: ") + std::strerror(errno);
+        const ssize_t count = ::read(file.get(), buffer.data(), buffer.size());
+        if (count < 0 && errno == EINTR) continue;
+        if (count < 0) {
+            error = std::string("cannot be read: ") + std::strerror(errno);
             return std::nullopt;
         }
-        if (got == 0) break;
-        bytes.append(piece.data(), static_cast<std::size_t>(got));
-        if (bytes.size() > kHandoverMost + 64) {
-            wrong = "is too large";
+        if (count == 0) break;
+        bytes.append(buffer.data(), static_cast<std::size_t>(count));
+        if (bytes.size() > kMaxHandoverBytes + 64) {
+            error = "file is too large";
             return std::nullopt;
         }
     }
-    return decodeSnapshot(bytes, wrong);
+    return decodeSnapshot(bytes, error);
 }
 
-std::optional<Micros> ageOf(const Snapshot& snapshot, std::int64_t wallNowUs) {
+std::optional<Micros> snapshotAge(const Snapshot& snapshot, std::int64_t wallNowUs) {
     if (snapshot.wallUs > wallNowUs || snapshot.wallUs <= 0) return std::nullopt;
     return wallNowUs - snapshot.wallUs;
 }
--- a/src/decisions/recovery/snapshot.h
+++ b/src/decisions/recovery/snapshot.h
@@ -1,6 +1,6 @@
-// A handover on disk: "MRLS", the wall time of its writing (Unix microseconds, 8 bytes), XXH64 of that time
-// and what follows (8), the handover's bytes. Replaced as a whole: under its name a file is whole or the one
-// before.
+// A handover in a file: "MRLS", wall time of the export (Unix microseconds, 8 bytes), XXH64 of that time and
+// of the handover's bytes (8), the handover's bytes. The file is replaced atomically: a reader finds either
+// the previous snapshot or the new one.
 #pragma once
 
 #include <optional>
@@ -10,6 +10,7 @@
 
 namespace marldale::recovery {
 
+// A handover and the wall time of its export.
 struct Snapshot {
     Handover handover;
     std::int64_t wallUs = 0;
@@ -17,14 +18,15 @@
 };
 
 [[nodiscard]] std::string encode(const Snapshot& snapshot);
-[[nodiscard]] std::optional<Snapshot> decodeSnapshot(std::string_view bytes, std::string& wrong);
+// Returns nothing and sets `error` if the bytes are not a valid snapshot.
+[[nodiscard]] std::optional<Snapshot> decodeSnapshot(std::string_view bytes, std::string& error);
 
-// Throws std::runtime_error: what failed, and why.
+// Throws std::runtime_error with the step that failed and its reason.
 void writeSnapshot(const std::string& path, const Snapshot& snapshot);
-// Nothing and no words if there is no such file; nothing, and what is wrong, if it can't be used.
-[[nodiscard]] std::optional<Snapshot> readSnapshot(const std::string& path, std::string& wrong);
+// Returns nothing if the file does not exist or cannot be used; `error` is empty only in the first case.
+[[nodiscard]] std::optional<Snapshot> readSnapshot(const std::string& path, std::string& error);
 
-// How old it is by the wall clock. Nothing if that clock has gone back since: nobody knows then.
-[[nodiscard]] std::optional<Micros> ageOf(const Snapshot& snapshot, std::int64_t wallNowUs);
+// Age by the wall clock. Nothing if the clock has gone backwards since the export: the age is then unknown.
+[[nodiscard]] std::optional<Micros> snapshotAge(const Snapshot& snapshot, std::int64_t wallNowUs);
 
 }  // namespace marldale::recovery
--- a/src/planner/knowledge/keeper.cpp
+++ b/src/planner/knowledge/keeper.cpp
@@ -1,5 +1,6 @@
-// The keeper: a memory behind a lock, and a thread that does what the memory asks for: it tells the module,
-// asks peers, and writes snapshots. The module's thread never waits for any of it.
+// Keeper module: guards a recovery coordinator with a lock and runs its actions on a thread of its own. That
+// thread posts to the decision module, queries peers and writes snapshots; the decision module's thread never
+// waits for it.
 #include <algorithm>
 #include <chrono>
 #include <condition_variable>
@@ -16,7 +17,7 @@
 
 using routing::Input;
 
-std::int64_t wallNow() {
+std::int64_t wallNowUs() {
     return std::chrono::duration_cast<std::chrono::microseconds>(
                std::chrono::system_clock::now().time_since_epoch())
         .count();
@@ -27,25 +28,27 @@
         .count();
 }
 
-CoordinatorSettings memoryOf(const routing::KeeperSettings& settings, const routing::KeeperHost& host) {
+CoordinatorSettings coordinatorSettings(const routing::KeeperSettings& settings,
+                                        const routing::KeeperHost& host) {
     CoordinatorSettings out;
     out.self = host.name;
-    out.incarnation = static_cast<std::uint64_t>(wallNow());
+    out.incarnation = static_cast<std::uint64_t>(wallNowUs());
     out.seed = host.seed ^ out.incarnation;
-    out.knowledge.holdMost = settings.holdMost;
-    out.ask.window = settings.askFor;
+    out.knowledge.maxHold = settings.holdMost;
+    out.peerQueries.window = settings.askFor;
     out.share = settings.share;
     out.peers = settings.peers;
     return out;
 }
 
+// Records what passes to the decision module, restores it after a restart and shares it with peers.
 class SharingKeeper : public routing::Keeper {
 public:
     SharingKeeper(routing::KeeperSettings settings, routing::KeeperHost host)
         : settings_(std::move(settings)),
           host_(std::move(host)),
-          memory_(memoryOf(settings_, host_), steadyNow()) {
-        hear(host_.known, steadyNow());
+          coordinator_(coordinatorSettings(settings_, host_), steadyNow()) {
+        observe(host_.known, steadyNow());
     }
     ~SharingKeeper() override { stop(); }
 
@@ -53,21 +56,21 @@
         if (auto* list = std::get_if<routing::ListInput>(&input)) return passList(std::move(*list), now);
         {
             const std::lock_guard lock(mutex_);
-            if (const auto* news = std::get_if<protocol::News>(&input)) hear(*news);
-            if (const auto* lane = std::get_if<routing::LaneNews>(&input)) hear(lane->news);
-            if (const auto* report = std::get_if<protocol::Report>(&input)) hear(*report, now);
+            if (const auto* news = std::get_if<protocol::News>(&input)) observe(*news);
+            if (const auto* lane = std::get_if<routing::LaneNews>(&input)) observe(lane->news);
+            if (const auto* report = std::get_if<protocol::Report>(&input)) observe(*report, now);
             if (const auto* rows = std::get_if<routing::SourceRows>(&input)) {
-                for (const protocol::Report& row : rows->rows) hear(row, now);
+                for (const protocol::Report& row : rows->rows) observe(row, now);
             }
         }
         return host_.post(std::move(input));
     }
 
-    // What was known goes to the module before anything that fronts bring; then snapshots may be written over
-    // the one that was read.
+    // Posts what the snapshot holds before any input of the fronts, and only then starts the thread, which
+    // may overwrite that snapshot.
     void begin(Micros now) override {
-        if (!settings_.snapshot.empty()) recallSnapshot(now);
-        act(now);
+        if (!settings_.snapshot.empty()) loadSnapshot(now);
+        performDue(now);
         thread_ = std::thread([this] { run(); });
     }
 
@@ -75,9 +78,9 @@
         {
             const std::lock_guard lock(mutex_);
             link_ = link;
-            if (link == nullptr) return memory_.disconnect();
-            memory_.connect(settings_.address.empty() ? "127.0.0.1:" + std::to_string(port)
-                                                      : settings_.address);
+            if (link == nullptr) return coordinator_.disconnect();
+            coordinator_.connect(settings_.address.empty() ? "127.0.0.1:" + std::to_string(port)
+                                                           : settings_.address);
         }
         wake();
     }
@@ -85,9 +88,9 @@
     void stop() override {
         {
             const std::lock_guard lock(wakeMutex_);
-            if (std::exchange(over_, true)) return;
+            if (std::exchange(stopping_, true)) return;
         }
-        due_.notify_one();
+        wakeCondition_.notify_one();
         if (thread_.joinable()) thread_.join();
     }
 
@@ -96,43 +99,43 @@
     [[nodiscard]] std::string name() const override { return host_.name; }
     [[nodiscard]] std::shared_ptr<const std::string> handOver() override {
         const Micros now = steadyNow();
-        const std::lock_guard lock(copyMutex_);
-        if (!copy_ || now - copied_ >= AskRules().copyHolds) {
+        const std::lock_guard lock(cacheMutex_);
+        if (!cachedHandover_ || now - cachedAt_ >= PeerQueryRules().handoverCacheTime) {
             Handover handover;
             {
                 const std::lock_guard inner(mutex_);
-                handover = memory_.handOver(now);
+                handover = coordinator_.handOver(now);
             }
-            copy_ = std::make_shared<const std::string>(encode(handover));
-            copied_ = now;
+            cachedHandover_ = std::make_shared<const std::string>(encode(handover));
+            cachedAt_ = now;
         }
-        return copy_;
+        return cachedHandover_;
     }
     void answered(const std::string& peer, std::optional<std::string> bytes, Micros transit,
-                  const std::string& wrong) override {
-        std::string why = wrong;
-        const auto handover = bytes ? decode(*bytes, why) : std::nullopt;
+                  const std::string& error) override {
+        std::string reason = error;
+        const auto handover = bytes ? decode(*bytes, reason) : std::nullopt;
         {
             const std::lock_guard lock(mutex_);
-            memory_.answered(peer, handover, transit, why, steadyNow());
+            coordinator_.receiveHandover(peer, handover, transit, reason, steadyNow());
         }
         wake();
     }
     void heard(const membership::PeerMessage& message) override {
         {
             const std::lock_guard lock(mutex_);
-            memory_.heard(message, steadyNow());
+            coordinator_.receiveMessage(message, steadyNow());
         }
         wake();
     }
 
 private:
-    // A list goes on with the boxes that a newer one did not have ready as draining. One lock for what is
-    // heard and what is posted: holds and lists reach the module in the order of their versions.
+    // Forwards a list with held-back servers marked as draining. The lock is kept from recording the list
+    // until it is posted, so that holds and lists reach the decision module in the order of their versions.
     [[nodiscard]] bool passList(routing::ListInput list, Micros now) {
         const std::lock_guard lock(mutex_);
-        hear(list.news, now);
-        const std::set<std::string> held = memory_.knowledge().heldBack(now);
+        observe(list.news, now);
+        const std::set<std::string> held = coordinator_.knowledge().heldBack(now);
         for (protocol::CatalogEntry& entry : list.news.entries) {
             if (entry.state == ServerState::ready && held.count(entry.uid) != 0) {
                 entry.state = ServerState::draining;
@@ -142,204 +145,209 @@
         return host_.post(std::move(list));
     }
 
-    void recallSnapshot(Micros now) {
-        std::string wrong;
-        const auto snapshot = readSnapshot(settings_.snapshot, wrong);
+    void loadSnapshot(Micros now) {
+        std::string error;
+        const auto snapshot = readSnapshot(settings_.snapshot, error);
         if (!snapshot) {
-            host_.log("knowledge", wrong.empty() ? "there is no snapshot yet: a cold start"
-                                                 : settings_.snapshot + " " + wrong + ": a cold start");
+            host_.log("knowledge", error.empty() ? "no snapshot yet, starting cold"
+                                                 : settings_.snapshot + ": " + error + ", starting cold");
             return;
         }
-        const auto age = ageOf(*snapshot, wallNow());
+        const auto age = snapshotAge(*snapshot, wallNowUs());
         if (!age || *age > settings_.ageMost) {
             host_.log("knowledge",
-                      age ? "the snapshot is " + std::to_string(*age / 1000000) + " s old: a cold start"
-                          : "the clock has gone back since the snapshot: a cold start");
+                      age ? "the snapshot is " + std::to_string(*age / 1000000) + " s old, starting cold"
+                          : "the clock went backwards since the snapshot, starting cold");
             return;
         }
         const std::lock_guard lock(mutex_);
-        const MergeCounts counts = memory_.mergeSnapshot(snapshot->handover, *age, now);
-        host_.log("knowledge", "a snapshot of " + snapshot->handover.from + ", " +
+        const MergeCounts counts = coordinator_.mergeSnapshot(snapshot->handover, *age, now);
+        host_.log("knowledge", "snapshot of " + snapshot->handover.from + ", " +
                                    std::to_string(*age / 1000000) +
                                    " s old: " + std::to_string(counts.taken) + " facts taken, " +
                                    std::to_string(counts.refused) + " refused");
     }
 
-    void hear(const protocol::CatalogNews& news, Micros now) {
-        if (news.whole) list_.clear();
+    void observe(const protocol::CatalogNews& news, Micros now) {
+        if (news.whole) catalog_.clear();
         for (const auto& entry : news.entries) {
             if (entry.state == ServerState::gone) {
-                list_.erase(entry.uid);
+                catalog_.erase(entry.uid);
             } else {
-                list_[entry.uid] = entry;
+                catalog_[entry.uid] = entry;
             }
         }
-        rev_ = std::max(rev_, news.rev);
+        catalogRev_ = std::max(catalogRev_, news.rev);
         std::map<std::string, Knowledge::ListedServer> all;
-        for (const auto& [uid, entry] : list_) all[uid] = {entry.state, entry.bootUs / 1000};
-        memory_.updateList(rev_, all, now);
+        for (const auto& [uid, entry] : catalog_) all[uid] = {entry.state, entry.bootUs / 1000};
+        coordinator_.updateList(catalogRev_, all, now);
     }
-    void hear(const protocol::News& news) {
+    void observe(const protocol::News& news) {
         if (const auto* hello = std::get_if<protocol::Hello>(&news))
-            memory_.proxyJoined(hello->proxy, hello->zone);
-        if (const auto* bye = std::get_if<protocol::Bye>(&news)) memory_.proxyLeft(bye->proxy);
+            coordinator_.proxyJoined(hello->proxy, hello->zone);
+        if (const auto* bye = std::get_if<protocol::Bye>(&news)) coordinator_.proxyLeft(bye->proxy);
     }
-    void hear(const protocol::Report& report, Micros now) {
+    void observe(const protocol::Report& report, Micros now) {
         if (const auto* demand = std::get_if<protocol::Demand>(&report)) {
             if (!protocol::isSound(*demand)) return;
-            memory_.came(demand->proxy, demand->klass,
-                         demand->came * 1e6 / static_cast<double>(demand->overUs), now);
+            coordinator_.recordDemand(demand->proxy, demand->klass,
+                                      demand->came * 1e6 / static_cast<double>(demand->overUs), now);
             return;
         }
         const auto* row = std::get_if<protocol::Outcomes>(&report);
         if (row == nullptr || row->tries == 0 || !protocol::isSound(*row)) return;
-        const auto server = list_.find(row->server);
-        if (server == list_.end()) return;
-        memory_.recordOutcomes({row->server,
-                                row->zone,
-                                server->second.bootUs / 1000,
-                                row->tries,
-                                row->failed,
-                                row->meanUs,
-                                {row->load.begin(), row->load.end()}},
-                               now);
+        const auto server = catalog_.find(row->server);
+        if (server == catalog_.end()) return;
+        coordinator_.recordOutcomes({row->server,
+                                     row->zone,
+                                     server->second.bootUs / 1000,
+                                     row->tries,
+                                     row->failed,
+                                     row->meanUs,
+                                     {row->load.begin(), row->load.end()}},
+                                    now);
     }
 
-    // What the memory asks for. Peers are spoken to outside of the lock: they answer on threads that take it.
-    void act(Micros now) {
-        CoordinatorActions todo;
+    // Performs the actions that are due. Peers are called without the lock, because their answers arrive on
+    // threads that take it.
+    void performDue(Micros now) {
+        CoordinatorActions actions;
         routing::PeerLink* link = nullptr;
         {
             const std::lock_guard lock(mutex_);
-            todo = memory_.due(now);
+            actions = coordinator_.due(now);
             link = link_;
-            tell(todo);
+            postToModule(actions);
         }
-        for (const std::string& line : todo.lines) host_.log("knowledge", line);
-        for (const auto& message : todo.say) say(link, message);
-        for (const PeerPlace& peer : todo.ask) {
+        for (const std::string& line : actions.logLines) host_.log("knowledge", line);
+        for (const auto& message : actions.messages) send(link, message);
+        for (const PeerPlace& peer : actions.queries) {
             if (link != nullptr) link->ask(peer);
         }
     }
-    void say(routing::PeerLink* link, const membership::PeerMessage& message) {
+    void send(routing::PeerLink* link, const membership::PeerMessage& message) {
         std::string address;
         {
             const std::lock_guard lock(mutex_);
-            address = memory_.addressOf(message.to);
+            address = coordinator_.addressOf(message.to);
         }
         if (link != nullptr && !address.empty()) link->say({message.to, address}, message);
     }
-    // Holds first: a sum says nothing of a box that is not ready.
-    void tell(const CoordinatorActions& todo) {
+    // Holds are posted before sums, because a sum has no meaning for a server that is not ready.
+    void postToModule(const CoordinatorActions& actions) {
         routing::ListInput holds;
-        holds.cached = true;  // of the version that stands already
-        holds.news.rev = rev_;
+        holds.cached = true;  // changes entries of the current list version
+        holds.news.rev = catalogRev_;
         std::size_t held = 0;
-        for (const Hold& hold : todo.holds) {
-            const auto at = list_.find(hold.server);
-            if (at == list_.end()) continue;
-            holds.news.entries.push_back(at->second);
+        for (const Hold& hold : actions.holds) {
+            const auto listed = catalog_.find(hold.server);
+            if (listed == catalog_.end()) continue;
+            holds.news.entries.push_back(listed->second);
             if (!hold.held) continue;
             holds.news.entries.back().state = ServerState::draining;
             ++held;
         }
-        const std::size_t back = holds.news.entries.size() - held;
+        const std::size_t released = holds.news.entries.size() - held;
         if (!holds.news.entries.empty()) (void)host_.post(std::move(holds));
-        for (const RecalledSum& r : todo.sums) {
+        for (const RecalledSum& sum : actions.sums) {
             protocol::Outcomes row;
-            row.zone = r.zone;
-            row.server = r.server;
-            row.tries = static_cast<std::uint32_t>(r.tries);
-            row.failed = std::min(row.tries, static_cast<std::uint32_t>(r.failed + 0.5));
-            row.meanUs = row.failed < row.tries ? r.mean : 0;
+            row.zone = sum.zone;
+            row.server = sum.server;
+            row.tries = static_cast<std::uint32_t>(sum.tries);
+            row.failed = std::min(row.tries, static_cast<std::uint32_t>(sum.failed + 0.5));
+            row.meanUs = row.failed < row.tries ? sum.mean : 0;
             row.overUs = host_.reportEvery;
             (void)host_.post(protocol::Report{std::move(row)});
         }
-        if (!todo.sums.empty() || held + back > 0) {
-            host_.log("knowledge", std::to_string(todo.sums.size()) + " sums recalled, " +
-                                       std::to_string(held) + " boxes held back, " + std::to_string(back) +
-                                       " let back");
+        if (!actions.sums.empty() || held + released > 0) {
+            host_.log("knowledge", std::to_string(actions.sums.size()) + " sums recalled, " +
+                                       std::to_string(held) + " servers held back, " +
+                                       std::to_string(released) + " released");
         }
     }
 
+    // Makes the thread compute again when the next action is due.
     void wake() {
         {
             const std::lock_guard lock(wakeMutex_);
             woken_ = true;
         }
-        due_.notify_one();
+        wakeCondition_.notify_one();
     }
+    // Body of the thread.
     void run() {
         Micros nextSnapshot = steadyNow() + settings_.every;
         std::unique_lock lock(wakeMutex_);
-        while (!over_) {
-            std::optional<Micros> at;
+        while (!stopping_) {
+            std::optional<Micros> nextDue;
             {
                 lock.unlock();
                 const std::lock_guard inner(mutex_);
-                at = memory_.nextDue(steadyNow());
+                nextDue = coordinator_.nextDue(steadyNow());
             }
             lock.lock();
-            if (!settings_.snapshot.empty()) at = std::min(at.value_or(nextSnapshot), nextSnapshot);
-            const auto ready = [this] { return over_ || woken_; };
-            if (at) {
-                due_.wait_for(lock, std::chrono::microseconds(std::max<Micros>(0, *at - steadyNow())), ready);
+            if (!settings_.snapshot.empty()) nextDue = std::min(nextDue.value_or(nextSnapshot), nextSnapshot);
+            const auto ready = [this] { return stopping_ || woken_; };
+            if (nextDue) {
+                wakeCondition_.wait_for(
+                    lock, std::chrono::microseconds(std::max<Micros>(0, *nextDue - steadyNow())), ready);
             } else {
-                due_.wait(lock, ready);
+                wakeCondition_.wait(lock, ready);
             }
             woken_ = false;
             lock.unlock();
             const Micros now = steadyNow();
-            act(now);
+            performDue(now);
             if (!settings_.snapshot.empty() && now >= nextSnapshot) {
-                save();
+                saveSnapshot();
                 nextSnapshot = now + settings_.every;
             }
             lock.lock();
         }
         lock.unlock();
-        sayLast();
-        if (!settings_.snapshot.empty()) save();
+        sendLeave();
+        if (!settings_.snapshot.empty()) saveSnapshot();
     }
-    void sayLast() {
-        std::vector<membership::PeerMessage> words;
+    void sendLeave() {
+        std::vector<membership::PeerMessage> messages;
         routing::PeerLink* link = nullptr;
         {
             const std::lock_guard lock(mutex_);
-            words = memory_.leave(steadyNow());
+            messages = coordinator_.leave(steadyNow());
             link = link_;
         }
-        for (const auto& message : words) say(link, message);
+        for (const auto& message : messages) send(link, message);
     }
-    void save() {
+    void saveSnapshot() {
         Snapshot snapshot;
         {
             const std::lock_guard lock(mutex_);
-            snapshot.handover = memory_.handOver(steadyNow());
+            snapshot.handover = coordinator_.handOver(steadyNow());
         }
-        snapshot.wallUs = wallNow();
+        snapshot.wallUs = wallNowUs();
         try {
             writeSnapshot(settings_.snapshot, snapshot);
         } catch (const std::exception& e) {
-            host_.log("knowledge", std::string("no snapshot is kept: ") + e.what());
+            host_.log("knowledge", std::string("cannot save snapshot: ") + e.what());
         }
     }
 
     const routing::KeeperSettings settings_;
     const routing::KeeperHost host_;
     std::mutex mutex_;
-    Coordinator memory_;  // behind it, as is what follows
-    std::map<std::string, protocol::CatalogEntry> list_;
-    std::uint64_t rev_ = 0;
+    // Guarded by `mutex_`, as are the following members.
+    Coordinator coordinator_;
+    std::map<std::string, protocol::CatalogEntry> catalog_;
+    std::uint64_t catalogRev_ = 0;
     routing::PeerLink* link_ = nullptr;
 
-    std::mutex copyMutex_;
-    std::shared_ptr<const std::string> copy_;  // behind it
-    Micros copied_ = 0;
+    std::mutex cacheMutex_;
+    std::shared_ptr<const std::string> cachedHandover_;  // guarded by `cacheMutex_`, as is `cachedAt_`
+    Micros cachedAt_ = 0;
 
     std::mutex wakeMutex_;
-    std::condition_variable due_;
-    bool over_ = false, woken_ = false;  // behind it
+    std::condition_variable wakeCondition_;
+    bool stopping_ = false, woken_ = false;  // guarded by `wakeMutex_`
     std::thread thread_;
 };
 
--- a/tests/program/knowledge_test.cpp
+++ b/tests/program/knowledge_test.cpp
@@ -42,7 +42,7 @@
 TEST_F(KnowledgeTest, WithoutASnapshotItStartsColdAndKeepsOneAtItsEnd) {
     Process process(directory + "/config.json", directory, {{"MARLDALE_SETTINGS", directory + "/own.ini"}});
     ASSERT_TRUE(awaitLog(process, "phase: serving")) << process.errors();
-    EXPECT_TRUE(awaitLog(process, "there is no snapshot yet: a cold start"));
+    EXPECT_TRUE(awaitLog(process, "no snapshot yet, starting cold"));
     EXPECT_EQ(process.end(SIGTERM), 0) << process.errors();
     std::string wrong;
     const auto kept = recovery::readSnapshot(directory + "/k", wrong);
@@ -54,7 +54,7 @@
     write(1, ServerState::ready, 0);
     Process process(directory + "/config.json", directory, {{"MARLDALE_SETTINGS", directory + "/own.ini"}});
     ASSERT_TRUE(awaitLog(process, "phase: serving")) << process.errors();
-    EXPECT_TRUE(awaitLog(process, std::to_string(known.size()) + " sums recalled, 0 boxes held back"))
+    EXPECT_TRUE(awaitLog(process, std::to_string(known.size()) + " sums recalled, 0 servers held back"))
         << process.errors();
     EXPECT_EQ(process.end(SIGTERM), 0) << process.errors();
     std::string wrong;
@@ -64,7 +64,7 @@
 TEST_F(KnowledgeTest, ABoxThatANewerListSawDrainingIsWithdrawn) {
     write(1000000, ServerState::draining, 1);
     Process process(directory + "/config.json", directory, {{"MARLDALE_SETTINGS", directory + "/own.ini"}});
-    ASSERT_TRUE(awaitLog(process, "1 boxes held back")) << process.errors();
+    ASSERT_TRUE(awaitLog(process, "1 servers held back")) << process.errors();
     const std::string first = known[0]["uid"], second = known[1]["uid"];
     EXPECT_TRUE(runUntil(loop, [&] { return calls.find("withdraw," + first) != std::string::npos; }));
     EXPECT_EQ(calls.find("withdraw," + second), std::string::npos);
@@ -73,21 +73,21 @@
 TEST_F(KnowledgeTest, NoSnapshotLeavesAPlannerWithoutABox) {
     write(1000000, ServerState::gone, known.size());
     Process process(directory + "/config.json", directory, {{"MARLDALE_SETTINGS", directory + "/own.ini"}});
-    ASSERT_TRUE(awaitLog(process, " 0 boxes held back")) << process.errors();
+    ASSERT_TRUE(awaitLog(process, " 0 servers held back")) << process.errors();
 }
 
 TEST_F(KnowledgeTest, ASnapshotThatCantBeUsedIsOneLineAndAColdStart) {
     std::ofstream(directory + "/k") << "MRLS and garbage behind it, as a torn disk leaves it";
     Process process(directory + "/config.json", directory, {{"MARLDALE_SETTINGS", directory + "/own.ini"}});
     ASSERT_TRUE(awaitLog(process, "phase: serving")) << process.errors();
-    EXPECT_TRUE(awaitLog(process, "/k it is torn or damaged: a cold start")) << process.errors();
+    EXPECT_TRUE(awaitLog(process, "/k: truncated or corrupt, starting cold")) << process.errors();
 }
 
 TEST_F(KnowledgeTest, AFolderThatIsGoneIsOneLineAndNoEnd) {
     (void)settings("[knowledge]\nsnapshot = " + directory + "/gone/k\nevery_s = 1\n");
     Process process(directory + "/config.json", directory, {{"MARLDALE_SETTINGS", directory + "/own.ini"}});
     ASSERT_TRUE(awaitLog(process, "phase: serving")) << process.errors();
-    EXPECT_TRUE(awaitLog(process, "no snapshot is kept: can't write ")) << process.errors();
+    EXPECT_TRUE(awaitLog(process, "cannot save snapshot: cannot write ")) << process.errors();
     EXPECT_EQ(process.end(SIGTERM), 0) << process.errors();
 }
 
--- a/tests/program/sharing_test.cpp
+++ b/tests/program/sharing_test.cpp
@@ -72,19 +72,19 @@
     ASSERT_TRUE(awaitLog(*donor.process, boxes + " sums recalled")) << donor.process->errors();
     Planner asker(*this, "n2", share + "[peer n1]\naddress = " + address(donor) + "\n");
     ASSERT_TRUE(awaitLog(*asker.process, "knowledge: peer n1 answered within ")) << asker.process->errors();
-    EXPECT_TRUE(awaitLog(*asker.process, boxes + " sums recalled, 0 boxes held back"))
+    EXPECT_TRUE(awaitLog(*asker.process, boxes + " sums recalled, 0 servers held back"))
         << asker.process->errors();
-    EXPECT_TRUE(awaitLog(*asker.process, "knowledge: peer n1 is there")) << asker.process->errors();
-    EXPECT_TRUE(awaitLog(*donor.process, "knowledge: peer n2 is there")) << donor.process->errors();
+    EXPECT_TRUE(awaitLog(*asker.process, "knowledge: peer n1 joined")) << asker.process->errors();
+    EXPECT_TRUE(awaitLog(*donor.process, "knowledge: peer n2 joined")) << donor.process->errors();
     EXPECT_EQ(asker.process->end(SIGTERM), 0) << asker.process->errors();
-    EXPECT_TRUE(awaitLog(*donor.process, "knowledge: peer n2 has left")) << donor.process->errors();
+    EXPECT_TRUE(awaitLog(*donor.process, "knowledge: peer n2 left")) << donor.process->errors();
     EXPECT_EQ(donor.process->end(SIGTERM), 0) << donor.process->errors();
 }
 
 TEST_F(SharingTest, AStartWaitsForNobody) {
     Planner asker(*this, "n2", share + "[peer n1]\naddress = 127.0.0.1:1\n");
     ASSERT_TRUE(awaitLog(*asker.process, "phase: serving")) << asker.process->errors();
-    EXPECT_TRUE(awaitLog(*asker.process, "knowledge: peer n1 told nothing: the stream has ended"))
+    EXPECT_TRUE(awaitLog(*asker.process, "knowledge: peer n1 sent no handover: the stream has ended"))
         << asker.process->errors();
     EXPECT_EQ(asker.process->end(SIGTERM), 0) << asker.process->errors();
 }
@@ -92,7 +92,7 @@
 TEST_F(SharingTest, TwoOfOneNameAreTold) {
     Planner one(*this, "n1", share);
     Planner two(*this, "n2", share + "[peer n1]\naddress = " + address(one) + "\n");
-    ASSERT_TRUE(awaitLog(*one.process, "peer n2 is there")) << one.process->errors();
+    ASSERT_TRUE(awaitLog(*one.process, "peer n2 joined")) << one.process->errors();
     std::filesystem::create_directory(directory + "/again");
     // A second n2 elsewhere.
     std::ofstream(directory + "/again/own.ini") << share + "[peer n1]\naddress = " + address(one) + "\n";
@@ -100,7 +100,7 @@
                   {{"MARLDALE_SETTINGS", directory + "/again/own.ini"},
                    {"RELAY_NAME", "n2"},
                    {"RELAY_LISTEN", "127.0.0.1:0"}});
-    EXPECT_TRUE(awaitLog(*one.process, "two instances are called n2")) << one.process->errors();
+    EXPECT_TRUE(awaitLog(*one.process, "two instances are named n2")) << one.process->errors();
 }
 
 TEST_F(SharingTest, SettingsThatCantWorkTogetherAreTold) {
