--- a/bench/gateway/figures.cpp
+++ b/bench/gateway/figures.cpp
@@ -21,8 +21,8 @@
 constexpr double kProxiesOfSweeps = 8, kServicesOfModules = 10, kProxiesOfModules = 24;
 constexpr double kThread = 1e6;  // microseconds a second: a controller decides on one thread
 
-using controller::Parts;
-using controller::partsOf;
+using controller::ProxyShare;
+using controller::proxyShareOf;
 
 class Slopes {
 public:
@@ -202,7 +202,7 @@
                   kSumsPerS * sums * s.line("modules: finding one server of the sums").at(z.services), "us/s",
                   kThread);
 
-    const Parts parts = partsOf(
+    const ProxyShare parts = proxyShareOf(
         {static_cast<std::size_t>(z.proxies), kPlaces, kConnections, kColdPerS, kColdExcess, kColdMargin});
     f.add(role, "parts of a sum", "connections of all proxies to one server", z.proxies * parts.connections,
           "", kConnections);
--- a/src/gateway/controller/calls.h
+++ b/src/gateway/controller/calls.h
@@ -26,8 +26,8 @@
 
 struct Call {
     std::string_view method;
-    std::string_view path;   // with a trailing slash: an argument follows
-    std::string_view about;  // one line for `marldale calls`
+    std::string_view path;         // with a trailing slash: an argument follows
+    std::string_view description;  // one line for `marldale calls`
     void (*handle)(Controller&, const Request&, Answer);
 };
 
--- a/src/gateway/controller/controller.cpp
+++ b/src/gateway/controller/controller.cpp
@@ -80,7 +80,7 @@
                        if (!reply.location.empty()) reply.location += target;
                        answer(std::move(reply));
                    });
-                   work();
+                   processPending();
                }),
       inside_(io),
       timer_(io),
@@ -115,13 +115,13 @@
     replica_ = std::make_unique<raft::Replica>(rules, std::move(*stored), steadyNow());
     log_ = std::make_unique<ReplicaLog>(*replica_);
     OrderQueue::Limits limits;
-    limits.contact = settings::quorumContactLimit(settings_.bounds);
+    limits.maxContactAge = settings::quorumContactLimit(settings_.bounds);
     orders_ = std::make_unique<OrderQueue>(*log_, limits);
     disk_ = std::make_unique<DiskWriter>(
         io_, std::move(*store),
         [this](std::uint64_t number) {
             replica_->persisted(steadyNow(), number);
-            work();
+            processPending();
         },
         [](const std::string& text) {
             log::warn("disk_refuses", {{"problem", text}});
@@ -160,7 +160,7 @@
     log::info("stopping", {{"leads", replica_->leads()}, {"proxies", proxies_.size()}});
     orders_->stop();
     replica_->leave(steadyNow());
-    work();
+    processPending();
     apart(
         [this] {
             boost::system::error_code ignored;
@@ -247,7 +247,7 @@
     log::info("leader", {{"leader", name}, {"term", replica_->term()}, {"self", replica_->leads()}});
 }
 
-void Controller::work() {
+void Controller::processPending() {
     if (working_ || !replica_) return;
     working_ = true;
     takeReady();
@@ -290,7 +290,7 @@
         if (registry_.tick(now)) registryChanged(now);
         flushDue_ = true;
     }
-    work();
+    processPending();
 }
 
 void Controller::arm() {
--- a/src/gateway/controller/controller.h
+++ b/src/gateway/controller/controller.h
@@ -135,7 +135,7 @@
     [[nodiscard]] proto::Frame updatesOf(const std::vector<std::string>& ids, bool whole, Micros now) const;
     void endOnceReleased(Micros latest, std::function<void()> done);
     void apart(std::function<void()> step, Micros after);
-    void work();  // takes what the replica has ready, until it has nothing
+    void processPending();  // takes what the replica has ready, until it has nothing
     void takeReady();
     [[nodiscard]] bool takeReadyOnce();
     void sendRaftMessages(std::vector<proto::RaftMessage> messages);
--- a/src/gateway/controller/desired_resources.cpp
+++ b/src/gateway/controller/desired_resources.cpp
@@ -120,9 +120,9 @@
     line->set_service(server.said.service());
     line->set_address(server.said.address());
     line->set_zone(server.said.zone());
-    const Parts parts =
-        partsOf({proxiesMost_, server.said.free_places(), service->max_connections(), service->cold_per_s(),
-                 settings_.bounds.coldExcess, settings_.bounds.coldMargin});
+    const ProxyShare parts =
+        proxyShareOf({proxiesMost_, server.said.free_places(), service->max_connections(),
+                      service->cold_per_s(), settings_.bounds.coldExcess, settings_.bounds.coldMargin});
     line->set_in_flight_most(parts.inFlight);
     line->set_connections_most(parts.connections);
     line->set_cold_most(parts.cold);
--- a/src/gateway/controller/order_queue.cpp
+++ b/src/gateway/controller/order_queue.cpp
@@ -48,7 +48,7 @@
 
 bool OrderQueue::inContact(Micros now) const {
     const Micros age = log_.quorumContactAge(now);
-    return age >= 0 && age <= limits_.contact;
+    return age >= 0 && age <= limits_.maxContactAge;
 }
 
 void OrderQueue::submit(Micros now, OrderId id, std::string change) {
@@ -99,7 +99,7 @@
 }
 
 void OrderQueue::endUnavailable(OrderId id, UnavailableReason reason) {
-    const auto outcome = faults_.refusesUnclear ? OrderOutcome::rejectedStale : OrderOutcome::unavailable;
+    const auto outcome = faults_.rejectsUnavailable ? OrderOutcome::rejectedStale : OrderOutcome::unavailable;
     replies_.push_back({id, outcome, reason, {}});
 }
 
@@ -174,7 +174,7 @@
     endAll(UnavailableReason::stopping);
 }
 
-std::vector<OrderReply> OrderQueue::take() { return std::exchange(replies_, {}); }
+std::vector<OrderReply> OrderQueue::takeReplies() { return std::exchange(replies_, {}); }
 
 Micros OrderQueue::nextDue() const {
     Micros due = kNever;
--- a/src/gateway/controller/order_queue.h
+++ b/src/gateway/controller/order_queue.h
@@ -2,9 +2,9 @@
 // when an order is proposed, redirected or turned away, and how each one is answered. An order is confirmed
 // or refused only by its committed entry (its verdict is the same on every member); whatever is not known to
 // be decided ends as `unavailable`, which promises nothing. A member that has not heard from a majority
-// within `Limits::contact` begins nothing and answers `unavailable` at once. After ReadIndex (Ongaro's
+// within `Limits::maxContactAge` begins nothing and answers `unavailable` at once. After ReadIndex (Ongaro's
 // thesis, 6.4) and 6.3 (client sessions, here by the order's own identity). No I/O: time and what the log has
-// done come in as values, replies go out by `take`.
+// done come in as values, replies go out by `takeReplies`.
 #pragma once
 
 #include <cstdint>
@@ -85,15 +85,15 @@
 // Planted by tests and by the simulation. All off in service.
 struct OrderQueueFaults {
     bool confirmsOnPropose = false;      // answers before the entry is committed
-    bool refusesUnclear = false;         // what ends without a verdict is answered as refused
+    bool rejectsUnavailable = false;     // what ends without a verdict is answered as refused
     bool answersWithoutContact = false;  // a member that is cut off reads by what it holds
 };
 
 class OrderQueue {
 public:
     struct Limits {
-        Micros contact = 1200000;  // with a majority; older: nothing is begun and nothing waits
-        Micros order = 2500000;    // from the proposal to the verdict
+        Micros maxContactAge = 1200000;  // with a majority; older: nothing is begun and nothing waits
+        Micros order = 2500000;          // from the proposal to the verdict
         Micros read = 900000;
         Micros leaderKnown = 800000;  // a call waits so long for a leader
     };
@@ -113,7 +113,7 @@
     void stop() { stopping_ = true; }
     void finish();  // whatever still waits ends as unavailable
 
-    [[nodiscard]] std::vector<OrderReply> take();
+    [[nodiscard]] std::vector<OrderReply> takeReplies();
     [[nodiscard]] std::size_t pending() const { return proposed_.size() + reads_.size() + held_.size(); }
     [[nodiscard]] Micros nextDue() const;  // the largest value where nothing waits
     [[nodiscard]] bool inContact(Micros now) const;
--- a/src/gateway/controller/orders.cpp
+++ b/src/gateway/controller/orders.cpp
@@ -55,7 +55,7 @@
 }
 
 void Controller::deliverReplies() {
-    for (const OrderReply& reply : orders_->take()) {
+    for (const OrderReply& reply : orders_->takeReplies()) {
         const auto at = pendingCalls_.find(reply.id);
         if (at == pendingCalls_.end()) continue;
         const PendingCall call = std::move(at->second);
--- a/src/gateway/controller/peer_links.cpp
+++ b/src/gateway/controller/peer_links.cpp
@@ -172,7 +172,7 @@
         case proto::Frame::kLoadReport: loadReport(link.get(), frame.load_report(), now); break;
         default: break;
     }
-    work();
+    processPending();
 }
 
 }  // namespace marldale::controller
--- a/src/gateway/controller/proxy_shares.cpp
+++ b/src/gateway/controller/proxy_shares.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-Parts partsOf(const Whole& whole) {
-    Parts out;
+ProxyShare proxyShareOf(const Whole& whole) {
+    ProxyShare out;
     out.inFlight = part(kQueueing * std::max(1U, whole.places), whole.proxies, 1);
     out.connections =
         whole.connections == 0 ? 64 : part(kConnectionsUsed * whole.connections, whole.proxies, 1);
--- a/src/gateway/controller/proxy_shares.h
+++ b/src/gateway/controller/proxy_shares.h
@@ -17,10 +17,10 @@
     double coldExcess = 1.5;
     unsigned coldMargin = 5;
 };
-struct Parts {
+struct ProxyShare {
     std::uint32_t inFlight = 1, connections = 1, cold = 0;
 };
-[[nodiscard]] Parts partsOf(const Whole& whole);
+[[nodiscard]] ProxyShare proxyShareOf(const Whole& whole);
 
 struct BudgetPart {
     double perRequest = 0, perS = 0, burst = 0;
--- a/src/gateway/program/program.cpp
+++ b/src/gateway/program/program.cpp
@@ -227,7 +227,7 @@
     if (command == "check") return check({words.begin() + 2, words.end()});
     if (command == "calls") {
         for (const controller::Call* call : controller::calls())
-            std::cout << call->method << " " << call->path << "  " << call->about << "\n";
+            std::cout << call->method << " " << call->path << "  " << call->description << "\n";
         return 0;
     }
     if ((command != kEdgeProxyCommand && command != kControllerCommand) || words.size() != 2) return usage();
--- a/tests/gateway/order_queue_test.cpp
+++ b/tests/gateway/order_queue_test.cpp
@@ -37,7 +37,7 @@
     OrderQueue queue{log, {}};
     // The one reply that is there; fails if there is another number of them.
     OrderReply only() {
-        const auto replies = queue.take();
+        const auto replies = queue.takeReplies();
         REQUIRE(replies.size() == 1);
         return replies[0];
     }
@@ -58,7 +58,7 @@
     };
     for (const auto& [verdict, outcome] : all) {
         queue.submit(0, 7, "order");
-        CHECK(queue.take().empty());
+        CHECK(queue.takeReplies().empty());
         queue.committed(log.last, log.currentTerm, verdict);
         const OrderReply reply = only();
         CHECK(reply.id == 7);
@@ -79,7 +79,7 @@
     log.knownLeader = "10.0.0.2:7000";
     log.contactAt = kSecond;
     queue.update(kSecond);
-    CHECK(queue.take().empty());
+    CHECK(queue.takeReplies().empty());
     queue.committed(log.last, log.currentTerm, Verdict::taken);
     CHECK(only().outcome == OrderOutcome::confirmed);
 }
@@ -88,7 +88,7 @@
     queue.submit(0, 1, "order");
     log.contactAt = 5 * kSecond;
     queue.update(queue.nextDue() - 1);
-    CHECK(queue.take().empty());
+    CHECK(queue.takeReplies().empty());
     queue.update(queue.nextDue());
     onlyUnavailable(UnavailableReason::timedOut);
 }
@@ -112,7 +112,7 @@
         queue.update(now);
         queue.submit(now, 3, "order");
         queue.read(now, 4);
-        for (const OrderReply& reply : queue.take()) {
+        for (const OrderReply& reply : queue.takeReplies()) {
             CHECK(reply.outcome == OrderOutcome::unavailable);
             CHECK(reply.reason == UnavailableReason::noQuorumContact);
         }
@@ -132,7 +132,7 @@
     log.isLeader = false;
     log.knownLeader.reset();
     queue.update(20 * kSecond + 1);
-    const auto replies = queue.take();
+    const auto replies = queue.takeReplies();
     REQUIRE(replies.size() == 2);
     for (const OrderReply& reply : replies) CHECK(reply.reason == UnavailableReason::noQuorumContact);
 }
@@ -152,7 +152,7 @@
     log.isLeader = false;
     log.knownLeader.reset();
     queue.submit(0, 1, "order");
-    CHECK(queue.take().empty());
+    CHECK(queue.takeReplies().empty());
     SECTION("a leader is found") {
         log.knownLeader = "10.0.0.2:7000";
         queue.update(1000);
@@ -182,7 +182,7 @@
     queue.readEnded({log.tickets[0], false, 0});
     onlyUnavailable(UnavailableReason::leadershipLost);
     queue.readEnded({log.tickets[0], true, 10});
-    CHECK(queue.take().empty());
+    CHECK(queue.takeReplies().empty());
 }
 
 TEST_CASE_METHOD(Fixture, "A stop takes no calls, and ends those that wait as unclear", "[orders]") {
@@ -207,20 +207,20 @@
         faults.confirmsOnPropose = true;
         OrderQueue queue(log, {}, faults);
         queue.submit(0, 1, "order");
-        CHECK(queue.take().at(0).outcome == OrderOutcome::confirmed);
+        CHECK(queue.takeReplies().at(0).outcome == OrderOutcome::confirmed);
     }
     SECTION("an unclear order that is refused") {
-        faults.refusesUnclear = true;
+        faults.rejectsUnavailable = true;
         OrderQueue queue(log, {}, faults);
         queue.submit(0, 1, "order");
         queue.committed(log.last, log.currentTerm + 1, Verdict::taken);
-        CHECK(queue.take().at(0).outcome == OrderOutcome::rejectedStale);
+        CHECK(queue.takeReplies().at(0).outcome == OrderOutcome::rejectedStale);
     }
     SECTION("a read without a round") {
         faults.answersWithoutContact = true;
         OrderQueue queue(log, {}, faults);
         queue.read(20 * kSecond, 1);
-        CHECK(queue.take().at(0).outcome == OrderOutcome::readConfirmed);
+        CHECK(queue.takeReplies().at(0).outcome == OrderOutcome::readConfirmed);
     }
 }
 
--- a/tests/gateway/orders_over_replicas_test.cpp
+++ b/tests/gateway/orders_over_replicas_test.cpp
@@ -64,7 +64,7 @@
             if (passes(k, to)) nodes[to]->replica.receive(now, message);
         }
         node.queue.update(now);
-        for (OrderReply& reply : node.queue.take()) replies[reply.id] = std::move(reply);
+        for (OrderReply& reply : node.queue.takeReplies()) replies[reply.id] = std::move(reply);
     }
     void run(Micros span) {
         for (const Micros end = now + span; now < end; now += kStep) {
--- a/tests/gateway/proxy_shares_test.cpp
+++ b/tests/gateway/proxy_shares_test.cpp
@@ -9,7 +9,7 @@
 TEST_CASE("Parts of cold rates and further tries never add up to more than the whole", "[parts]") {
     for (std::size_t proxies = 0; proxies <= 400; ++proxies) {
         for (const double coldPerS : {0.0, 9.4, 19.0, 40.0}) {
-            const Parts parts = partsOf({proxies, 3, 110, coldPerS, 1.5, 5});
+            const ProxyShare parts = proxyShareOf({proxies, 3, 110, coldPerS, 1.5, 5});
             REQUIRE(static_cast<double>(parts.cold * std::max<std::size_t>(1, proxies)) <=
                     coldPerS * 1.5 + 5);
             REQUIRE(parts.inFlight >= 1);
--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -30,7 +30,7 @@
 
 controller::OrderQueue::Limits queueLimits(const settings::Bounds& bounds) {
     controller::OrderQueue::Limits limits;
-    limits.contact = settings::quorumContactLimit(bounds);
+    limits.maxContactAge = settings::quorumContactLimit(bounds);
     return limits;
 }
 
@@ -155,7 +155,7 @@
 }
 
 void ControllerProcess::deliverReplies() {
-    for (const controller::OrderReply& reply : orders_.take()) {
+    for (const controller::OrderReply& reply : orders_.takeReplies()) {
         const auto at = callers_.find(reply.id);
         if (at == callers_.end()) continue;
         const Caller caller = at->second;
--- a/tests/simulation/planted_faults.cpp
+++ b/tests/simulation/planted_faults.cpp
@@ -14,7 +14,7 @@
          4},
         {"1: times are the time of day", [](Faults& f) { f.readsTimeOfDay = true; }, 65},
         {"2: confirmed before it is committed", [](Faults& f) { f.orderQueue.confirmsOnPropose = true; }},
-        {"2: what is unclear is refused", [](Faults& f) { f.orderQueue.refusesUnclear = true; }, 2},
+        {"2: what is unclear is refused", [](Faults& f) { f.orderQueue.rejectsUnavailable = true; }, 2},
         {"2: only the newest order is known again", [](Faults& f) { f.orders.forgetsTaken = true; }},
         {"2: the same number is the same order", [](Faults& f) { f.orders.ignoresDigest = true; }},
         {"3: a machine that is gone stays a voter", [](Faults& f) { f.keepsLostMachine = true; }, 16},
