--- a/src/gateway/controller/calls.cpp
+++ b/src/gateway/controller/calls.cpp
@@ -6,20 +6,22 @@
 namespace marldale::controller {
 
 const std::vector<const Call*>& calls() {
-    static const std::vector<const Call*> all = {&kBeat,       &kLeave,       &kReplace, &kRead,
-                                                 &kEmptyBegin, &kEmptyFinish, &kStatus};
+    static const std::vector<const Call*> all = {&kServersBeat,  &kServersLeave,   &kSettingsReplace,
+                                                 &kSettingsRead, &kEmptyZoneBegin, &kEmptyZoneFinish,
+                                                 &kStatus};
     return all;
 }
 
-Found findCall(std::string_view method, std::string_view target) {
+CallMatch findCall(std::string_view method, std::string_view target) {
     const std::string_view path = target.substr(0, target.find('?'));
-    Found out;
+    CallMatch out;
     for (const Call* call : calls()) {
-        const bool takes = call->path.back() == '/';
-        if (takes ? path.substr(0, call->path.size()) != call->path || path.size() == call->path.size()
-                  : path != call->path)
+        const bool takesArgument = call->path.back() == '/';
+        if (takesArgument
+                ? path.substr(0, call->path.size()) != call->path || path.size() == call->path.size()
+                : path != call->path)
             continue;
-        out.known = true;
+        out.pathExists = true;
         if (method != call->method) continue;
         out.call = call;
         out.argument = std::string(path.substr(std::min(path.size(), call->path.size())));
@@ -28,7 +30,7 @@
     return out;
 }
 
-Reply problem(int status, std::string_view text) {
+Reply problemReply(int status, std::string_view text) {
     rapidjson::StringBuffer body;
     rapidjson::Writer<rapidjson::StringBuffer> json(body);
     json.StartObject();
--- a/src/gateway/controller/calls.h
+++ b/src/gateway/controller/calls.h
@@ -1,5 +1,5 @@
-// Calls of servers and operators. Each is declared beside its handler (the files calls_*.cpp); the server of
-// control finds them by method and path.
+// The HTTP calls of servers and operators. Each call is defined next to its handler, in calls_*.cpp; the
+// control server finds it by method and path.
 #pragma once
 
 #include <functional>
@@ -12,36 +12,42 @@
 
 class Controller;
 
+/// An HTTP request to the control server.
 struct Request {
     std::string method, target, body;
-    std::string builtOn;   // X-Built-On, where sent
-    std::string argument;  // what follows the call's path
+    std::string builtOn;   // the X-Built-On header, if sent
+    std::string argument;  // the rest of the target after the path of the call
 };
+/// The HTTP reply to a request.
 struct Reply {
     int status = 200;
     std::string body = "{}";
-    std::string location;  // of a 307
+    std::string location;  // for status 307
 };
-using Answer = std::function<void(Reply)>;  // exactly once, at any time
+/// Sends the reply. Called exactly once, at any time.
+using ReplyCallback = std::function<void(Reply)>;
 
+/// One call: its method, its path and its handler.
 struct Call {
     std::string_view method;
-    std::string_view path;         // with a trailing slash: an argument follows
-    std::string_view description;  // one line for `marldale calls`
-    void (*handle)(Controller&, const Request&, Answer);
+    std::string_view path;         // with a trailing slash if an argument follows
+    std::string_view description;  // a line of the output of `marldale calls`
+    void (*handle)(Controller&, const Request&, ReplyCallback);
 };
 
-// One declaration a file.
-extern const Call kBeat, kLeave, kReplace, kRead, kEmptyBegin, kEmptyFinish, kStatus;
+extern const Call kServersBeat, kServersLeave, kSettingsReplace, kSettingsRead, kEmptyZoneBegin,
+    kEmptyZoneFinish, kStatus;
+/// All calls, in the order in which they are listed and matched.
 [[nodiscard]] const std::vector<const Call*>& calls();
-// The call and its argument; nothing if there is none. `known`: the path is there, but not with this method.
-struct Found {
+/// The call that matches a request, with its argument; null if none does.
+struct CallMatch {
     const Call* call = nullptr;
     std::string argument;
-    bool known = false;
+    bool pathExists = false;  // some call has this path, perhaps with another method
 };
-[[nodiscard]] Found findCall(std::string_view method, std::string_view target);
-// A JSON object with the reason under "problem".
-[[nodiscard]] Reply problem(int status, std::string_view text);
+/// Finds the call for a method and a request target; a query string is ignored.
+[[nodiscard]] CallMatch findCall(std::string_view method, std::string_view target);
+/// An error reply: a JSON object with the reason under "problem".
+[[nodiscard]] Reply problemReply(int status, std::string_view text);
 
 }  // namespace marldale::controller
--- a/src/gateway/controller/calls_operator.cpp
+++ b/src/gateway/controller/calls_operator.cpp
@@ -1,4 +1,4 @@
-// The operator's calls: configurations, evacuations, what is going on.
+// The calls of operators: replacing and reading the configuration, emptying zones, and the status.
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_cat.h"
 #include "gateway/controller/calls.h"
@@ -7,49 +7,57 @@
 namespace marldale::controller {
 namespace {
 
-void replace(Controller& controller, const Request& request, Answer answer) {
-    // One that is cut off refuses nothing, not even what no controller would take.
+void replaceSettings(Controller& controller, const Request& request, ReplyCallback sendReply) {
+    // Without quorum contact nothing is rejected, not even an invalid body: the order queue answers that the
+    // controller is unavailable.
     if (!controller.inQuorumContact())
         return controller.change(configuration::replaceChange(request.body), "configuration",
-                                 std::move(answer));
+                                 std::move(sendReply));
     const auto read = configuration::readConfiguration(request.body);
-    if (!read.ok()) return answer(problem(400, std::string(read.status().message())));
+    if (!read.ok()) return sendReply(problemReply(400, std::string(read.status().message())));
     std::uint64_t builtOn = 0;
     if (!request.builtOn.empty() &&
         (!absl::SimpleAtoi(request.builtOn, &builtOn) || builtOn != read->builtOn)) {
-        return answer(problem(412, "X-Built-On names another version than built_on"));
+        return sendReply(problemReply(412, "X-Built-On and built_on name different versions"));
     }
     controller.change(configuration::replaceChange(request.body),
-                      absl::StrCat("version ", read->version, " on ", read->builtOn), std::move(answer));
+                      absl::StrCat("version ", read->version, " on ", read->builtOn), std::move(sendReply));
 }
 
-void readBack(Controller& controller, const Request& /*request*/, Answer answer) {
-    controller.read(std::move(answer));
+void readSettings(Controller& controller, const Request& /*request*/, ReplyCallback sendReply) {
+    controller.read(std::move(sendReply));
 }
 
-void zone(Controller& controller, const Request& request, Answer answer, bool empty) {
-    if (!controller.settings().zones.count(request.argument)) return answer(problem(404, "no such zone"));
+void changeZone(Controller& controller, const Request& request, ReplyCallback sendReply, bool empty) {
+    if (!controller.settings().zones.count(request.argument))
+        return sendReply(problemReply(404, "no such zone"));
     controller.change(configuration::zoneChange(request.argument, empty),
-                      absl::StrCat(empty ? "empty " : "take back ", request.argument), std::move(answer));
+                      absl::StrCat(empty ? "empty zone " : "reopen zone ", request.argument),
+                      std::move(sendReply));
 }
-void begin(Controller& controller, const Request& request, Answer answer) {
-    zone(controller, request, std::move(answer), true);
+void beginEmptyZone(Controller& controller, const Request& request, ReplyCallback sendReply) {
+    changeZone(controller, request, std::move(sendReply), true);
 }
-void finish(Controller& controller, const Request& request, Answer answer) {
-    zone(controller, request, std::move(answer), false);
+void finishEmptyZone(Controller& controller, const Request& request, ReplyCallback sendReply) {
+    changeZone(controller, request, std::move(sendReply), false);
 }
 
-void status(Controller& controller, const Request& /*request*/, Answer answer) {
-    answer({200, controller.status(), {}});
+void status(Controller& controller, const Request& /*request*/, ReplyCallback sendReply) {
+    sendReply({200, controller.status(), {}});
 }
 
 }  // namespace
 
-const Call kReplace = {"POST", "/-/Settings.Replace", "a whole configuration, built on a version", replace};
-const Call kRead = {"GET", "/-/Settings.Read", "the newest configuration in full", readBack};
-const Call kEmptyBegin = {"POST", "/-/EmptyZone.Begin/", "nothing more goes to a zone's servers", begin};
-const Call kEmptyFinish = {"POST", "/-/EmptyZone.Finish/", "a zone is taken back", finish};
-const Call kStatus = {"GET", "/-/Status",
-                      "who leads, what is in force, who is bound here, which servers are known", status};
+const Call kSettingsReplace = {"POST", "/-/Settings.Replace",
+                               "replaces the whole configuration, built on a given version", replaceSettings};
+const Call kSettingsRead = {"GET", "/-/Settings.Read", "returns the newest configuration in full",
+                            readSettings};
+const Call kEmptyZoneBegin = {"POST", "/-/EmptyZone.Begin/", "stops sending requests to a zone's servers",
+                              beginEmptyZone};
+const Call kEmptyZoneFinish = {"POST", "/-/EmptyZone.Finish/", "sends requests to an emptied zone again",
+                               finishEmptyZone};
+const Call kStatus = {
+    "GET", "/-/Status",
+    "returns the leader, the version in force, the bound edge proxies and the known servers", status};
 
 }  // namespace marldale::controller
--- a/src/gateway/controller/calls_servers.cpp
+++ b/src/gateway/controller/calls_servers.cpp
@@ -1,4 +1,4 @@
-// Servers' own calls: beats and sign-offs.
+// The calls of servers: heartbeats and sign-offs.
 #include <rapidjson/document.h>
 #include <rapidjson/schema.h>
 #include <rapidjson/stringbuffer.h>
@@ -9,7 +9,7 @@
 namespace marldale::controller {
 namespace {
 
-constexpr const char* kBeatSchema = R"({
+constexpr const char* kHeartbeatSchema = R"({
  "type": "object", "required": ["service", "address", "zone"],
  "properties": {
   "service": {"type": "string", "minLength": 1, "maxLength": 200},
@@ -23,47 +23,49 @@
  }
 })";
 
-void beat(Controller& controller, const Request& request, Answer answer) {
+void beat(Controller& controller, const Request& request, ReplyCallback sendReply) {
     static const rapidjson::SchemaDocument schema = [] {
-        rapidjson::Document rules;
-        rules.Parse(kBeatSchema);
-        return rapidjson::SchemaDocument(rules);
+        rapidjson::Document document;
+        document.Parse(kHeartbeatSchema);
+        return rapidjson::SchemaDocument(document);
     }();
     rapidjson::Document json;
     json.Parse(request.body.data(), request.body.size());
-    if (json.HasParseError()) return answer(problem(400, "no JSON"));
+    if (json.HasParseError()) return sendReply(problemReply(400, "the body is not valid JSON"));
     rapidjson::SchemaValidator validator(schema);
     if (!json.Accept(validator)) {
-        rapidjson::StringBuffer place;
-        validator.GetInvalidDocumentPointer().StringifyUriFragment(place);
-        return answer(problem(400, std::string(place.GetString()) + " breaks the rule '" +
-                                       validator.GetInvalidSchemaKeyword() + "'"));
+        rapidjson::StringBuffer pointer;
+        validator.GetInvalidDocumentPointer().StringifyUriFragment(pointer);
+        return sendReply(problemReply(400, std::string(pointer.GetString()) + " violates the schema rule '" +
+                                               validator.GetInvalidSchemaKeyword() + "'"));
     }
-    proto::Server said;
-    said.set_id(request.argument);
-    said.set_service(json["service"].GetString());
-    said.set_address(json["address"].GetString());
-    said.set_zone(json["zone"].GetString());
-    if (json.HasMember("version")) said.set_version(json["version"].GetString());
-    if (json.HasMember("free_places")) said.set_free_places(json["free_places"].GetUint());
-    said.set_emptying(json.HasMember("server_state") &&
-                      std::string(json["server_state"].GetString()) == "emptying");
+    proto::Server server;
+    server.set_id(request.argument);
+    server.set_service(json["service"].GetString());
+    server.set_address(json["address"].GetString());
+    server.set_zone(json["zone"].GetString());
+    if (json.HasMember("version")) server.set_version(json["version"].GetString());
+    if (json.HasMember("free_places")) server.set_free_places(json["free_places"].GetUint());
+    server.set_emptying(json.HasMember("server_state") &&
+                        std::string(json["server_state"].GetString()) == "emptying");
     if (json.HasMember("cold_left")) {
         const auto cold = settings::readTime(json["cold_left"].GetString());
-        if (!cold.ok()) return answer(problem(400, "#/cold_left: " + std::string(cold.status().message())));
-        said.set_cold_left(*cold);
+        if (!cold.ok())
+            return sendReply(problemReply(400, "#/cold_left: " + std::string(cold.status().message())));
+        server.set_cold_left(*cold);
     }
-    if (json.HasMember("call_count")) said.set_call_count(json["call_count"].GetUint64());
-    controller.beat(std::move(said), std::move(answer));
+    if (json.HasMember("call_count")) server.set_call_count(json["call_count"].GetUint64());
+    controller.beat(std::move(server), std::move(sendReply));
 }
 
-void leave(Controller& controller, const Request& request, Answer answer) {
-    controller.leave(request.argument, std::move(answer));
+void leave(Controller& controller, const Request& request, ReplyCallback sendReply) {
+    controller.leave(request.argument, std::move(sendReply));
 }
 
 }  // namespace
 
-const Call kBeat = {"POST", "/-/Servers.Beat/", "a server says that it is there", beat};
-const Call kLeave = {"POST", "/-/Servers.Leave/", "a server signs off", leave};
+const Call kServersBeat = {"POST", "/-/Servers.Beat/", "registers a server, or renews its registration",
+                           beat};
+const Call kServersLeave = {"POST", "/-/Servers.Leave/", "signs a server off", leave};
 
 }  // namespace marldale::controller
--- a/src/gateway/controller/control_server.h
+++ b/src/gateway/controller/control_server.h
@@ -1,4 +1,4 @@
-// The server of control: HTTP/1.1 on Boost.Beast, for servers and operators.
+// The control server: HTTP/1.1 on Boost.Beast, for the calls of servers and operators.
 #pragma once
 
 #include <utility>  // Boost 1.74 forgets it
@@ -13,12 +13,17 @@
 
 namespace marldale::controller {
 
+/// Accepts connections on the control address and passes each request to a handler.
 class ControlServer {
 public:
-    using Handle = std::function<void(Request, Answer)>;
-    ControlServer(boost::asio::io_context& io, std::string address, Handle handle);
+    /// Takes a request and sends its reply through the callback.
+    using RequestHandler = std::function<void(Request, ReplyCallback)>;
+    ControlServer(boost::asio::io_context& io, std::string address, RequestHandler handle);
+    /// Starts to accept connections.
     [[nodiscard]] absl::Status listen();
-    void close();  // takes no more connections; those that are open end with their next answer
+    /// Accepts no more connections; open ones are closed after their next reply.
+    void close();
+    /// The number of open connections.
     [[nodiscard]] std::size_t connections() const { return *connections_; }
 
 private:
@@ -26,7 +31,7 @@
 
     boost::asio::io_context& io_;
     std::string address_;
-    Handle handle_;
+    RequestHandler handle_;
     boost::asio::ip::tcp::acceptor acceptor_;
     std::shared_ptr<std::size_t> connections_ = std::make_shared<std::size_t>(0);
     std::shared_ptr<bool> closing_ = std::make_shared<bool>(false);
--- a/src/gateway/controller/controller.cpp
+++ b/src/gateway/controller/controller.cpp
@@ -1,4 +1,5 @@
-// The process itself: start, stop, the timer that drives everything, and what the replica has ready.
+// The controller process: start, stop, the timer that drives all periodic work, and processing of the
+// replica's output.
 #include <algorithm>
 #include <cstdlib>
 #include <random>
@@ -17,12 +18,14 @@
 using transport::Link;
 using transport::steadyNow;
 
-constexpr Micros kUpdatesEvery = 300000;  // beats passed on, merged
-constexpr Micros kSweepEvery = 500000;
-constexpr int kRoundsMost = 64;  // of what the replica has ready, in one step of the loop
-// A stop: proxies are let go once the lead has had time to move, then calls end, then the process.
-constexpr Micros kStopLetGo = 200000, kStopCalls = 300000, kStopDone = 900000;
-constexpr Micros kReleasePoll = 100000;
+constexpr Micros kUpdateIntervalUs =
+    300000;  // server heartbeats are merged and passed on to other controllers
+constexpr Micros kSweepIntervalUs = 500000;
+constexpr int kMaxReadyRounds = 64;  // of the replica's output processed in one event
+// Shutdown, counted from the stop: proxies are released once leadership has had time to move, then pending
+// calls end, then the process.
+constexpr Micros kReleaseProxiesAfterUs = 200000, kEndCallsAfterUs = 300000, kExitAfterUs = 900000;
+constexpr Micros kReleasePollIntervalUs = 100000;
 
 std::uint64_t random64() {
     std::random_device device;
@@ -36,7 +39,7 @@
 
 }  // namespace
 
-proto::Peer selfOf(const settings::Settings& settings, std::uint64_t incarnation) {
+proto::Peer selfPeer(const settings::Settings& settings, std::uint64_t incarnation) {
     proto::Peer out;
     out.set_address(settings.inside());
     out.set_control(settings.control);
@@ -53,39 +56,41 @@
       incarnation_(random64()),
       view_(
           [&] {
-              gossip::Settings s;
-              s.seed = incarnation_;
-              return s;
+              gossip::Settings gossipSettings;
+              gossipSettings.seed = incarnation_;
+              return gossipSettings;
           }(),
-          selfOf(settings_, incarnation_), settings_.insideSeeds()),
+          selfPeer(settings_, incarnation_), settings_.insideSeeds()),
       datagrams_(io, settings_.inside(),
                  [this](const proto::Shuffle& shuffle) {
-                     if (auto letter = view_.heard(shuffle)) datagrams_.send(letter->to, letter->shuffle);
+                     if (auto message = view_.heard(shuffle)) datagrams_.send(message->to, message->shuffle);
                  }),
       registry_([&] {
-          registry::Settings s;
-          s.beatEvery = settings_.beatEvery;
-          return s;
+          registry::Settings registrySettings;
+          registrySettings.beatEvery = settings_.beatEvery;
+          return registrySettings;
       }()),
       steering_(zoneNames(settings_), settings_.zone, incarnation_),
       control_(io, settings_.control,
-               [this](Request request, Answer answer) {
-                   const Found found = findCall(request.method, request.target);
+               [this](Request request, ReplyCallback sendReply) {
+                   const CallMatch found = findCall(request.method, request.target);
                    if (found.call == nullptr)
-                       return answer(problem(found.known ? 405 : 404,
-                                             found.known ? "not by this method" : "no such call"));
+                       return sendReply(problemReply(
+                           found.pathExists ? 405 : 404,
+                           found.pathExists ? "the call does not allow this method" : "no such call"));
                    request.argument = found.argument;
                    const std::string target = request.target;
-                   found.call->handle(*this, request, [answer = std::move(answer), target](Reply reply) {
-                       if (!reply.location.empty()) reply.location += target;
-                       answer(std::move(reply));
-                   });
+                   found.call->handle(*this, request,
+                                      [sendReply = std::move(sendReply), target](Reply reply) {
+                                          if (!reply.location.empty()) reply.location += target;
+                                          sendReply(std::move(reply));
+                                      });
                    processPending();
                }),
-      inside_(io),
+      insideAcceptor_(io),
       timer_(io),
       distributionLoop_(*this, settings_.bounds.apply),
-      departureCopy_(departureWriter(), [this] { return departuresText(steadyNow()); }),
+      departureCopy_(departureWriter(), [this] { return serializedDepartures(steadyNow()); }),
       barrier_(settings::viewLease(settings_.bounds)) {}
 
 Controller::~Controller() = default;
@@ -98,25 +103,25 @@
     if (!store.ok()) return store.status();
     auto stored = (*store)->load();
     if (!stored.ok()) return stored.status();
-    raft::Settings rules;
-    rules.seeds = settings_.insideSeeds();
-    rules.seed = incarnation_;
-    rules.catchUp = settings_.bounds.catchUp;
+    raft::Settings raftSettings;
+    raftSettings.seeds = settings_.insideSeeds();
+    raftSettings.seed = incarnation_;
+    raftSettings.catchUp = settings_.bounds.catchUp;
     stored->self.set_zone(settings_.zone);
     if (!settings_.dataFolder.empty()) {
-        readDepartures(steadyNow());
-        readHints(steadyNow());
+        loadDepartures(steadyNow());
+        loadServerHints(steadyNow());
     }
     log::info("raft_log_opened", {{"number", stored->self.number()},
                                   {"term", stored->term},
                                   {"entries", stored->entries.size()},
                                   {"snapshot", stored->snapshot.index()},
                                   {"first_run", settings_.firstRun}});
-    replica_ = std::make_unique<raft::Replica>(rules, std::move(*stored), steadyNow());
-    log_ = std::make_unique<ReplicaLog>(*replica_);
+    replica_ = std::make_unique<raft::Replica>(raftSettings, std::move(*stored), steadyNow());
+    replicatedLog_ = std::make_unique<ReplicaLog>(*replica_);
     OrderQueue::Limits limits;
     limits.maxContactAge = settings::quorumContactLimit(settings_.bounds);
-    orders_ = std::make_unique<OrderQueue>(*log_, limits);
+    orders_ = std::make_unique<OrderQueue>(*replicatedLog_, limits);
     disk_ = std::make_unique<DiskWriter>(
         io_, std::move(*store),
         [this](std::uint64_t number) {
@@ -128,14 +133,14 @@
         });
     if (auto s = datagrams_.open(); !s.ok()) return s;
     const auto endpoint = transport::endpointOf(settings_.inside());
-    boost::system::error_code wrong;
-    inside_.open(endpoint->protocol(), wrong);
-    if (!wrong) inside_.set_option(tcp::acceptor::reuse_address(true), wrong);
-    if (!wrong) inside_.bind(*endpoint, wrong);
-    if (!wrong) inside_.listen(512, wrong);
-    if (wrong)
+    boost::system::error_code error;
+    insideAcceptor_.open(endpoint->protocol(), error);
+    if (!error) insideAcceptor_.set_option(tcp::acceptor::reuse_address(true), error);
+    if (!error) insideAcceptor_.bind(*endpoint, error);
+    if (!error) insideAcceptor_.listen(512, error);
+    if (error)
         return absl::UnavailableError(
-            absl::StrCat("inside: can't listen on ", settings_.inside(), ": ", wrong.message()));
+            absl::StrCat("inside: cannot listen on ", settings_.inside(), ": ", error.message()));
     acceptInside();
     if (auto s = control_.listen(); !s.ok()) return s;
     tick();
@@ -148,10 +153,10 @@
     log::info("reloaded", {{"seeds", settings_.seeds.size()}});
 }
 
-void Controller::apart(std::function<void()> step, Micros after) {
-    auto timer = std::make_shared<boost::asio::steady_timer>(io_, std::chrono::microseconds(after));
-    timer->async_wait([timer, step = std::move(step)](boost::system::error_code wrong) {
-        if (!wrong) step();
+void Controller::runAfter(std::function<void()> step, Micros delay) {
+    auto timer = std::make_shared<boost::asio::steady_timer>(io_, std::chrono::microseconds(delay));
+    timer->async_wait([timer, step = std::move(step)](boost::system::error_code error) {
+        if (!error) step();
     });
 }
 
@@ -161,39 +166,40 @@
     orders_->stop();
     replica_->leave(steadyNow());
     processPending();
-    apart(
+    runAfter(
         [this] {
             boost::system::error_code ignored;
-            inside_.close(ignored);
+            insideAcceptor_.close(ignored);
             std::vector<distribution::ProxyId> all;
             for (const auto& [id, proxy] : proxies_) all.push_back(id);
             for (const distribution::ProxyId id : all) {
                 auto link = proxies_.at(id).link;
-                letGo(id);
-                open_.erase(link.get());
+                releaseProxy(id);
+                acceptedLinks_.erase(link.get());
                 link->close();
             }
         },
-        kStopLetGo);
-    apart(
+        kReleaseProxiesAfterUs);
+    runAfter(
         [this] {
             orders_->finish();
             deliverReplies();
-            endDepartures(departureAcks_.takeAll(), UnavailableReason::stopping);
+            failDepartures(departureAcks_.takeAll(), UnavailableReason::stopping);
             control_.close();
         },
-        kStopCalls);
+        kEndCallsAfterUs);
     const Micros latest = steadyNow() + settings_.bounds.grace / 2;
-    apart([this, latest, done = std::move(done)] { endOnceReleased(latest, done); }, kStopDone);
+    runAfter([this, latest, done = std::move(done)] { exitWhenReleased(latest, done); }, kExitAfterUs);
 }
 
-// The process ends once others hold all that this replica holds; where that can't be, at `latest`.
-void Controller::endOnceReleased(Micros latest, std::function<void()> done) {
+// Ends the process once other replicas hold everything that this one holds, or at `latest` if they do not.
+void Controller::exitWhenReleased(Micros latest, std::function<void()> done) {
     if (replica_->released() || steadyNow() >= latest) {
         log::info("stopped", {{"released", replica_->released()}});
         return done();
     }
-    apart([this, latest, done = std::move(done)] { endOnceReleased(latest, done); }, kReleasePoll);
+    runAfter([this, latest, done = std::move(done)] { exitWhenReleased(latest, done); },
+             kReleasePollIntervalUs);
 }
 
 bool Controller::takeReadyOnce() {
@@ -205,13 +211,13 @@
     for (raft::Write& write : ready.writes) disk_->write(std::move(write));
     sendRaftMessages(std::move(ready.messages));
     if (ready.install) installSnapshot(*ready.install);
-    for (const proto::Entry& entry : ready.committed) applied(entry);
+    for (const proto::Entry& entry : ready.committed) applyEntry(entry);
     for (const raft::ReadEnd& end : ready.reads) orders_->readEnded(end);
     return true;
 }
 
 void Controller::takeReady() {
-    for (int round = 0; round < kRoundsMost; ++round) {
+    for (int round = 0; round < kMaxReadyRounds; ++round) {
         if (!takeReadyOnce()) return;
     }
 }
@@ -229,40 +235,40 @@
 void Controller::installSnapshot(const proto::Snapshot& snapshot) {
     orders_->installed(snapshot.index());
     if (auto s = configurations_.restore(snapshot.data()); !s.ok()) {
-        // Changes behind the snapshot would be applied to an old state, which would then be served.
+        // The changes after the snapshot would be applied to an old state, which would then be distributed.
         log::event(log::Level::error, "snapshot_unreadable",
                    {{"index", snapshot.index()}, {"problem", std::string(s.message())}});
         std::_Exit(EXIT_FAILURE);
     }
     compaction_.compacted(snapshot.data().size());
     log::info("snapshot_installed", {{"index", snapshot.index()}, {"term", snapshot.term()}});
-    configurationChanged(steadyNow());
+    onConfigurationChanged(steadyNow());
 }
 
-void Controller::noteLeader() {
+void Controller::logLeaderChange() {
     const auto leader = replica_->leader();
-    const std::string name = leader ? leader->address() : "";
-    if (name == lastLeader_) return;
-    lastLeader_ = name;
-    log::info("leader", {{"leader", name}, {"term", replica_->term()}, {"self", replica_->leads()}});
+    const std::string address = leader ? leader->address() : "";
+    if (address == lastLeader_) return;
+    lastLeader_ = address;
+    log::info("leader", {{"leader", address}, {"term", replica_->term()}, {"self", replica_->leads()}});
 }
 
 void Controller::processPending() {
-    if (working_ || !replica_) return;
-    working_ = true;
+    if (processing_ || !replica_) return;
+    processing_ = true;
     takeReady();
-    noteLeader();
+    logLeaderChange();
     orders_->update(steadyNow());
     takeReady();
     deliverReplies();
-    working_ = false;
+    processing_ = false;
     updateBarrier(steadyNow());
     wakeDistribution(steadyNow());
-    arm();
+    armTimer();
 }
 
-// Counted from the heartbeats' own time: `arm` moves the timer whenever a frame comes.
-void Controller::noteLateness(Micros now) {
+// Measured from the due time of the heartbeats, because `armTimer` moves the timer whenever a frame arrives.
+void Controller::reportLoopLateness(Micros now) {
     if (now < nextHeartbeat_ || nextHeartbeat_ == 0) return;
     if (const auto late = loopLateness_.ran(nextHeartbeat_, now))
         log::warn("loop_late", {{"at_most_us", *late}});
@@ -270,43 +276,46 @@
 
 void Controller::tick() {
     const Micros now = steadyNow();
-    noteLateness(now);
+    reportLoopLateness(now);
     replica_->tick(now);
-    while (auto letter = view_.due(now)) datagrams_.send(letter->to, letter->shuffle);
+    while (auto message = view_.due(now)) datagrams_.send(message->to, message->shuffle);
     if (now >= nextHeartbeat_) sendHeartbeats(now);
     if (now >= nextUpdates_) {
         sendUpdates(now);
-        const bool alone =
-            std::any_of(peers_.begin(), peers_.end(), [](const auto& p) { return !p.second.link; });
-        nextUpdates_ = now + (alone && now - startedAt_ < kStarting ? kDialAgainStarting : kUpdatesEvery);
-        endLateDepartures(now);
+        const bool anyDisconnected =
+            std::any_of(peers_.begin(), peers_.end(), [](const auto& peer) { return !peer.second.link; });
+        nextUpdates_ =
+            now + (anyDisconnected && now - startedAt_ < kStartupPeriodUs ? kStartupRedialIntervalUs
+                                                                          : kUpdateIntervalUs);
+        expireDepartures(now);
         departureCopy_.retry();
         dialPeers(now);
-        keepHints(now);
+        saveServerHints(now);
     }
     if (now >= nextSweep_) {
-        nextSweep_ = now + kSweepEvery;
-        countProxies(now);
-        if (registry_.tick(now)) registryChanged(now);
-        flushDue_ = true;
+        nextSweep_ = now + kSweepIntervalUs;
+        updateProxyCount(now);
+        if (registry_.tick(now)) onRegistryChanged(now);
+        distributionDue_ = true;
     }
     processPending();
 }
 
-void Controller::arm() {
-    if (working_) return;
+void Controller::armTimer() {
+    if (processing_) return;
     const Micros now = steadyNow();
     Micros due =
         std::min({replica_->nextDue(), orders_->nextDue(), view_.nextDue(), distributionLoop_.nextDue(),
                   barrier_.nextDue(), nextHeartbeat_, nextUpdates_, nextSweep_});
     due = std::max(due, now + 1000);
-    // One that is overdue stays: it fires as soon as the loop gets to it, however many frames come meanwhile.
-    if (armedFor_ != 0 && armedFor_ <= due) return;
-    armedFor_ = due;
+    // A timer that is overdue is not moved: it fires as soon as the loop gets to it, however many frames
+    // arrive in the meantime.
+    if (timerDue_ != 0 && timerDue_ <= due) return;
+    timerDue_ = due;
     timer_.expires_after(std::chrono::microseconds(due - now));
-    timer_.async_wait([this](boost::system::error_code wrong) {
-        if (wrong) return;
-        armedFor_ = 0;
+    timer_.async_wait([this](boost::system::error_code error) {
+        if (error) return;
+        timerDue_ = 0;
         tick();
     });
 }
--- a/src/gateway/controller/controller.h
+++ b/src/gateway/controller/controller.h
@@ -1,5 +1,6 @@
-// One process of control: its part of the replicated log, the registry of servers, the decision modules for
-// the proxies that are bound to it, and what it tells them. One thread, and one more that waits for the disk.
+// One controller process: its replica of the log, its registry of servers, the decision modules for the edge
+// proxies bound to it, and the distribution of resources to those proxies. It runs on one thread, plus one
+// that waits for the disk.
 #pragma once
 
 #include <utility>  // Boost 1.74 forgets it
@@ -38,6 +39,7 @@
 namespace proto = gateway::proto;
 class StatusWriter;
 
+/// The controller process.
 class Controller : private distribution::DistributionHost {
 public:
     Controller(boost::asio::io_context& io, settings::Settings settings);
@@ -45,144 +47,154 @@
     Controller(const Controller&) = delete;
     Controller& operator=(const Controller&) = delete;
 
+    /// Opens the log and the sockets, and starts the timer.
     [[nodiscard]] absl::Status start();
-    void reload(const settings::Settings& settings);  // seeds
-    void stop(std::function<void()> done);            // hands the lead over, lets go of proxies, ends calls
-
-    // ---- for the calls ----
-    void beat(proto::Server said, Answer answer);
-    void leave(const std::string& id, Answer answer);
-    // Ordered by the log, answered once its verdict is known. `about` says in the log which order it is.
-    void change(std::string change, std::string about, Answer answer);
-    void read(Answer answer);
-    // Without it no order is judged, not even one that makes no sense.
+    /// Takes over the seeds of the new settings; other settings are not reloaded.
+    void reload(const settings::Settings& settings);
+    /// Hands over leadership, releases the edge proxies and ends pending calls; then calls `done`.
+    void stop(std::function<void()> done);
+
+    // ---- handlers of the HTTP calls ----
+    /// Takes a server's heartbeat. A departure is answered once it is acknowledged.
+    void beat(proto::Server server, ReplyCallback sendReply);
+    /// Signs a server off; answered once its departure is acknowledged.
+    void leave(const std::string& id, ReplyCallback sendReply);
+    /// Submits an order to the log; answered once its verdict is known. `description` names the order in the
+    /// log output.
+    void change(std::string change, std::string description, ReplyCallback sendReply);
+    /// Answers with the newest configuration, by a linearizable read.
+    void read(ReplyCallback sendReply);
+    /// Whether a majority was heard from recently. Without it no order is checked, not even an invalid one.
     [[nodiscard]] bool inQuorumContact() const;
+    /// The body of the status reply, in JSON.
     [[nodiscard]] std::string status() const;
     [[nodiscard]] const settings::Settings& settings() const { return settings_; }
 
 private:
-    struct PeerLink {                           // dialed by this process
-        std::shared_ptr<transport::Link> link;  // nothing: none stands
+    struct PeerLink {                           // a link dialed by this process
+        std::shared_ptr<transport::Link> link;  // null if not connected
         bool dialing = false;
-        Micros nextDial = 0;
+        Micros nextDialAt = 0;
     };
     struct BoundProxy {
         std::shared_ptr<transport::Link> link;
         proto::Peer peer;
-        bool joined = false;  // the lines' distribution has it
-        // It holds no server that this controller doesn't know of.
-        bool serversWhole = false;
-        std::uint64_t index = 0;  // of the configuration it holds
+        bool inDistribution = false;  // it has joined the distribution of resources
+        // It holds no server that this controller does not know of.
+        bool serverListComplete = false;
+        std::uint64_t configurationIndex = 0;  // of the configuration it holds
         transport::EchoReceiver echo;
     };
-    struct PeerClock {  // of another controller: how old what it sends is at most
-        explicit PeerClock(std::uint64_t start) : sent(start) {}
-        transport::EchoSender sent;
-        transport::EchoReceiver received;
-        Micros delay = 0;  // of its last heartbeat on its way, at most
+    struct PeerClock {  // bounds the age of messages from another controller
+        explicit PeerClock(std::uint64_t start) : sender(start) {}
+        transport::EchoSender sender;
+        transport::EchoReceiver receiver;
+        Micros maxDelay = 0;  // upper bound of the transit time of its last heartbeat
     };
-    struct PendingCall {  // waits in the order queue
-        Answer answer;
-        std::string about;  // for the log
+    struct PendingCall {  // a call in the order queue
+        ReplyCallback sendReply;
+        std::string description;  // for the log output
     };
 
     struct Departure {
-        std::uint64_t turn = 0;       // of distribution, that tells the proxies
-        bool isAcknowledged = false;  // here
+        std::uint64_t distributionTurn = 0;  // the turn of distribution that tells the proxies
+        bool isAcknowledged = false;         // by this controller
     };
-    struct PendingDeparture {  // waits to be acknowledged
+    struct PendingDeparture {  // not acknowledged yet
         std::string id;
-        Answer answer;
+        ReplyCallback sendReply;
     };
 
     void acceptInside();
-    void arrived(boost::asio::ip::tcp::socket socket);
-    void heard(const std::shared_ptr<transport::Link>& link, const proto::Frame& frame);
-    void receiveUpdates(const std::shared_ptr<transport::Link>& link, const proto::ServerUpdates& news);
-    void heardHello(const std::shared_ptr<transport::Link>& link, const proto::Hello& hello);
-    void closed(const transport::Link* link);
+    void onConnectionAccepted(boost::asio::ip::tcp::socket socket);
+    void onFrame(const std::shared_ptr<transport::Link>& link, const proto::Frame& frame);
+    void onServerUpdates(const std::shared_ptr<transport::Link>& link, const proto::ServerUpdates& updates);
+    void onHello(const std::shared_ptr<transport::Link>& link, const proto::Hello& hello);
+    void onLinkClosed(const transport::Link* link);
 
-    void arm();
+    void armTimer();
     void tick();
-    void noteLateness(Micros now);
+    void reportLoopLateness(Micros now);
     void dialPeers(Micros now);
-    void forgetPeers(const std::set<std::string>& wanted, Micros now);
+    void removeStalePeers(const std::set<std::string>& wanted, Micros now);
     void dialPeer(const std::string& address);
     void sendToPeers(const proto::Frame& frame);
-    void heartbeatFromPeer(const transport::Link* link, const proto::Heartbeat& heartbeat, Micros now);
-    void loadReport(const transport::Link* link, const proto::LoadReport& report, Micros now);
-    void updateAcknowledged(const transport::Link* link, const proto::ServerUpdatesAck& ack);
-    void acknowledgeDeparture(const std::string& id, Answer answer, Micros now);
-    void askForDepartures(Micros now);
-    void noteDeparture(const std::string& id);
-    // Once no proxy that is bound here acts on a view from before these departures.
+    void onPeerHeartbeat(const transport::Link* link, const proto::Heartbeat& heartbeat, Micros now);
+    void onLoadReport(const transport::Link* link, const proto::LoadReport& report, Micros now);
+    void onUpdatesAck(const transport::Link* link, const proto::ServerUpdatesAck& ack);
+    void acknowledgeDeparture(const std::string& id, ReplyCallback sendReply, Micros now);
+    void requestDepartureAcks(Micros now);
+    void recordDeparture(const std::string& id);
+    // Calls `then` once no proxy bound to this controller acts on a view from before these departures.
     void whenInForce(const std::vector<std::string>& ids, std::function<void()> then);
     void confirmDepartures(const std::shared_ptr<transport::Link>& link, std::uint64_t number,
                            const std::vector<std::string>& ids);
     void updateBarrier(Micros now);
     [[nodiscard]] std::vector<std::string> controllersWithProxies(Micros now) const;
     void answerConfirmedDepartures(Micros now);
-    void endDepartures(const std::vector<DepartureAcks::Number>& numbers, UnavailableReason reason);
-    [[nodiscard]] std::string departuresText(Micros now) const;
+    void failDepartures(const std::vector<DepartureAcks::RequestNumber>& numbers, UnavailableReason reason);
+    [[nodiscard]] std::string serializedDepartures(Micros now) const;
     [[nodiscard]] DurableCopy::Writer departureWriter();
-    void readDepartures(Micros now);
+    void loadDepartures(Micros now);
     [[nodiscard]] std::vector<std::string> voterAddresses() const;
     [[nodiscard]] PeerClock& clockOf(const std::string& address);
-    [[nodiscard]] Micros delayOf(const transport::Link* link) const;
-    void keepHints(Micros now);
-    void readHints(Micros now);
+    [[nodiscard]] Micros maxDelayOf(const transport::Link* link) const;
+    void saveServerHints(Micros now);
+    void loadServerHints(Micros now);
     void sendUpdates(Micros now);
-    [[nodiscard]] proto::Frame updatesOf(const std::vector<std::string>& ids, bool whole, Micros now) const;
-    void endOnceReleased(Micros latest, std::function<void()> done);
-    void apart(std::function<void()> step, Micros after);
-    void processPending();  // takes what the replica has ready, until it has nothing
+    [[nodiscard]] proto::Frame updatesFrame(const std::vector<std::string>& ids, bool all, Micros now) const;
+    void exitWhenReleased(Micros latest, std::function<void()> done);
+    void runAfter(std::function<void()> step, Micros delay);
+    // Processes what the replica has ready until nothing is left, then what depends on it.
+    void processPending();
     void takeReady();
     [[nodiscard]] bool takeReadyOnce();
     void sendRaftMessages(std::vector<proto::RaftMessage> messages);
     void installSnapshot(const proto::Snapshot& snapshot);
-    void noteLeader();
-    void applied(const proto::Entry& entry);
+    void logLeaderChange();
+    void applyEntry(const proto::Entry& entry);
     [[nodiscard]] configuration::Verdict applyChange(const proto::Entry& entry, Micros now);
     void deliverReplies();
     [[nodiscard]] Reply replyOf(const OrderReply& reply) const;
-    [[nodiscard]] bool whole(Micros now) const;
-    // Whether this has heard from a majority recently enough to serve configurations and to answer orders.
+    // Whether this controller can be expected to know all servers.
+    [[nodiscard]] bool knowsAllServers(Micros now) const;
+    // Whether a majority was heard from recently enough to distribute resources and to answer orders.
     [[nodiscard]] bool inQuorumContact(Micros now) const;
 
     void writeProxies(StatusWriter& json) const;
     void writeServers(StatusWriter& json, Micros now) const;
 
-    // All servers' resources are derived anew, before the next turn of distribution; or those alone that
-    // changed in the registry.
-    void serversChanged(Micros now);
-    void registryChanged(Micros now);
-    void deriveServers(Micros now);
-    void addAllServers(std::set<std::string>& ids) const;
-    void putAbsent(const std::string& id);
+    // Derives the resources of all servers again before the next turn of distribution.
+    void markAllServersChanged(Micros now);
+    // Derives only the resources of the servers that changed in the registry.
+    void onRegistryChanged(Micros now);
+    void deriveServerResources(Micros now);
+    void addAllServerIds(std::set<std::string>& ids) const;
+    void putAbsentServer(const std::string& id);
     void updateModuleLists(Micros now);
     void putServer(const registry::Server& server, const proto::ServiceResource* service, Micros now);
-    void configurationChanged(Micros now);
-    void putDrop(const std::string& id);
-    void admit(distribution::ProxyId id, BoundProxy& proxy, Micros now);
-    void sendServersWhole(Micros now);
+    void onConfigurationChanged(Micros now);
+    void putServerDrop(const std::string& id);
+    void admitToDistribution(distribution::ProxyId id, BoundProxy& proxy, Micros now);
+    void sendServerListComplete(Micros now);
     void wakeDistribution(Micros now);
-    void flush(Micros now);
+    void distributeResources(Micros now);
     void fillColdTimes(std::vector<proto::Resource>& resources, Micros now) const;
     void runModules(Micros now) override;
 
-    // What the loop of distribution needs.
+    // The rest of DistributionHost.
     [[nodiscard]] Micros now() const override { return transport::steadyNow(); }
     void post(std::function<void()> step) override { boost::asio::post(io_, std::move(step)); }
     [[nodiscard]] Micros timersDue() const override;
     void runTimers() override { tick(); }
-    void distribute(Micros now) override { flush(now); }
+    void distribute(Micros now) override { distributeResources(now); }
     [[nodiscard]] Micros modulesDue() const override { return steering_.nextDue(); }
     void send(const distribution::OutgoingFrame& frame) override;
     void sendHeartbeats(Micros now);
     void sendPeerHeartbeats(Micros now);
-    void countProxies(Micros now);
-    void endLateDepartures(Micros now);
-    void letGo(distribution::ProxyId id);
+    void updateProxyCount(Micros now);
+    void expireDepartures(Micros now);
+    void releaseProxy(distribution::ProxyId id);
 
     boost::asio::io_context& io_;
     settings::Settings settings_;
@@ -196,42 +208,43 @@
     std::unique_ptr<raft::Replica> replica_;
     std::unique_ptr<DiskWriter> disk_;
     ControlServer control_;
-    boost::asio::ip::tcp::acceptor inside_;
+    boost::asio::ip::tcp::acceptor insideAcceptor_;
     boost::asio::steady_timer timer_;
-    Micros armedFor_ = 0;
+    Micros timerDue_ = 0;  // 0: the timer is not armed
 
-    std::map<std::string, PeerLink> peers_;                                    // by inside address
-    std::map<const transport::Link*, std::shared_ptr<transport::Link>> open_;  // accepted
-    std::map<const transport::Link*, std::string> names_;                      // greeted on: inside address
+    std::map<std::string, PeerLink> peers_;  // by inside address
+    std::map<const transport::Link*, std::shared_ptr<transport::Link>> acceptedLinks_;
+    std::map<const transport::Link*, std::string> peerAddresses_;  // inside address, from the greeting
     std::map<distribution::ProxyId, BoundProxy> proxies_;
-    std::map<const transport::Link*, distribution::ProxyId> proxyOf_;
-    distribution::ProxyId lastProxy_ = 0;
+    std::map<const transport::Link*, distribution::ProxyId> proxyByLink_;
+    distribution::ProxyId lastProxyId_ = 0;
     distribution::ResourceDistributor distributor_;
     distribution::ConfigurationResources configurationResources_{distributor_};
     distribution::DistributionLoop distributionLoop_;
     bool allServersChanged_ = false, moduleListChanged_ = false;
     Micros nextModuleList_ = 0;
-    bool flushDue_ = false;  // something is to go out, as soon as the schedule lets it
+    bool distributionDue_ = false;  // distribution is to be requested from the schedule
     log::LoopLateness loopLateness_;
 
-    std::unique_ptr<ReplicaLog> log_;
+    std::unique_ptr<ReplicaLog> replicatedLog_;
     std::unique_ptr<OrderQueue> orders_;
     std::map<OrderId, PendingCall> pendingCalls_;
-    OrderId lastOrder_ = 0;
+    OrderId lastOrderId_ = 0;
     DurableCopy departureCopy_;
     DepartureAcks departureAcks_;
-    std::map<DepartureAcks::Number, std::vector<PendingDeparture>> departureAnswers_;
-    std::vector<PendingDeparture> newDepartures_;  // of this turn of the loop
-    std::map<std::string, Departure> departures_;  // by id
+    std::map<DepartureAcks::RequestNumber, std::vector<PendingDeparture>> pendingDepartures_;
+    std::vector<PendingDeparture> newDepartures_;  // that came in this iteration of the event loop
+    std::map<std::string, Departure> departures_;  // by server id
     distribution::DistributionBarrier barrier_;
-    DepartureAcks::Number lastDeparture_ = 0;
-    std::set<std::string> updatesDue_;
+    DepartureAcks::RequestNumber lastDepartureRequest_ = 0;
+    std::set<std::string> updatesDue_;             // ids of servers
     std::map<std::string, PeerClock> peerClocks_;  // by inside address
-    std::map<std::string, std::pair<Micros, std::uint32_t>>
-        proxiesAt_;                // of other controller: when told, how many
-    std::size_t proxiesMost_ = 0;  // of the last half minute: parts that were handed out may still be in use
-    Micros proxiesMostAt_ = 0;
-    bool gotWhole_ = false, stopping_ = false, working_ = false;
+    // The number of proxies bound to each other controller, and when it was reported; by inside address.
+    std::map<std::string, std::pair<Micros, std::uint32_t>> peerProxyCounts_;
+    // The largest number of proxies of the last half minute: shares that were handed out may still be in use.
+    std::size_t recentMaxProxies_ = 0;
+    Micros recentMaxProxiesAt_ = 0;
+    bool receivedAllServers_ = false, stopping_ = false, processing_ = false;
     std::string lastLeader_;
     Micros nextHeartbeat_ = 0, nextUpdates_ = 0, nextSweep_ = 0, nextHints_ = 0;
     raft::CompactionPolicy compaction_;
--- a/src/gateway/controller/controller_shared.h
+++ b/src/gateway/controller/controller_shared.h
@@ -1,14 +1,14 @@
-// What several of the controller's files use.
+// Declarations shared by the source files of the controller.
 #pragma once
 
 #include "gateway/controller/controller.h"
 
 namespace marldale::controller {
 
-// After a start every other controller is looked for more often.
-constexpr Micros kStarting = 3000000, kDialAgainStarting = 60000;
+/// During the first `kStartupPeriodUs` after the start, other controllers are dialed more often.
+constexpr Micros kStartupPeriodUs = 3000000, kStartupRedialIntervalUs = 60000;
 
-// This process as it introduces itself to others.
-[[nodiscard]] proto::Peer selfOf(const settings::Settings& settings, std::uint64_t incarnation);
+/// This process as it introduces itself to its peers.
+[[nodiscard]] proto::Peer selfPeer(const settings::Settings& settings, std::uint64_t incarnation);
 
 }  // namespace marldale::controller
--- a/src/gateway/controller/departure_acks.cpp
+++ b/src/gateway/controller/departure_acks.cpp
@@ -5,44 +5,49 @@
 
 namespace marldale::controller {
 
-void DepartureAcks::add(Number number, Micros until) { waiting_[number].until = until; }
+void DepartureAcks::add(RequestNumber number, Micros deadline) { pending_[number].deadline = deadline; }
 
-void DepartureAcks::durableAt(Number number, const std::string& controller) {
-    const auto at = waiting_.find(number);
-    if (at != waiting_.end()) at->second.durableAt.insert(controller);
+void DepartureAcks::markDurable(RequestNumber number, const std::string& controller) {
+    const auto found = pending_.find(number);
+    if (found != pending_.end()) found->second.durableAt.insert(controller);
 }
 
-void DepartureAcks::inForceAt(Number number, const std::string& controller) {
-    const auto at = waiting_.find(number);
-    if (at != waiting_.end()) at->second.inForceAt.insert(controller);
+void DepartureAcks::markInForce(RequestNumber number, const std::string& controller) {
+    const auto found = pending_.find(number);
+    if (found != pending_.end()) found->second.inForceAt.insert(controller);
 }
 
-std::vector<DepartureAcks::Number> DepartureAcks::takeConfirmed(const std::vector<std::string>& voters,
-                                                                const std::vector<std::string>& needed) {
-    std::vector<Number> taken;
-    for (const auto& [number, waiting] : waiting_) {
-        const auto isDurable = [&at = waiting.durableAt](const auto& voter) { return at.contains(voter); };
-        const auto isInForce = [&at = waiting.inForceAt](const auto& one) { return at.contains(one); };
+std::vector<DepartureAcks::RequestNumber> DepartureAcks::takeConfirmed(
+    const std::vector<std::string>& voters, const std::vector<std::string>& controllers) {
+    std::vector<RequestNumber> taken;
+    for (const auto& [number, request] : pending_) {
+        const auto isDurable = [&durableAt = request.durableAt](const auto& voter) {
+            return durableAt.contains(voter);
+        };
+        const auto isInForce = [&inForceAt = request.inForceAt](const auto& controller) {
+            return inForceAt.contains(controller);
+        };
         const auto count = std::count_if(voters.begin(), voters.end(), isDurable);
         const bool isMajority = 2 * static_cast<std::size_t>(count) > voters.size();
-        if (isMajority && std::all_of(needed.begin(), needed.end(), isInForce)) taken.push_back(number);
+        if (isMajority && std::all_of(controllers.begin(), controllers.end(), isInForce))
+            taken.push_back(number);
     }
-    for (const Number number : taken) waiting_.erase(number);
+    for (const RequestNumber number : taken) pending_.erase(number);
     return taken;
 }
 
-std::vector<DepartureAcks::Number> DepartureAcks::takeLate(Micros now) {
-    std::vector<Number> taken;
-    for (const auto& [number, waiting] : waiting_) {
-        if (now >= waiting.until) taken.push_back(number);
+std::vector<DepartureAcks::RequestNumber> DepartureAcks::takeExpired(Micros now) {
+    std::vector<RequestNumber> taken;
+    for (const auto& [number, request] : pending_) {
+        if (now >= request.deadline) taken.push_back(number);
     }
-    for (const Number number : taken) waiting_.erase(number);
+    for (const RequestNumber number : taken) pending_.erase(number);
     return taken;
 }
 
-std::vector<DepartureAcks::Number> DepartureAcks::takeAll() {
-    std::vector<Number> taken;
-    for (const auto& [number, waiting] : std::exchange(waiting_, {})) taken.push_back(number);
+std::vector<DepartureAcks::RequestNumber> DepartureAcks::takeAll() {
+    std::vector<RequestNumber> taken;
+    for (const auto& [number, request] : std::exchange(pending_, {})) taken.push_back(number);
     return taken;
 }
 
--- a/src/gateway/controller/departure_acks.h
+++ b/src/gateway/controller/departure_acks.h
@@ -1,7 +1,9 @@
-// Departures of servers that wait to be acknowledged: until a majority of the voters has them on disk, and no
-// edge proxy of a controller in reach uses the servers any more. Neither the loss of the controllers that
-// heard of a departure first, nor a cut that leaves them on the smaller side, nor a restart of all of them
-// takes it back, and what is still on its way to a server was sent before the acknowledgement. No I/O.
+// Tracks the departures of servers that have not been acknowledged yet. A departure is acknowledged once a
+// majority of the voters has it on disk and no edge proxy of a reachable controller uses the server any more.
+//
+// An acknowledged departure therefore survives the loss of the controllers that heard of it first, a network
+// partition that leaves them in the minority, and a restart of all controllers; and any request still on its
+// way to the server was sent before the acknowledgement. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,31 +16,32 @@
 
 namespace marldale::controller {
 
+/// The requests for acknowledgement that are pending. One request may cover several departures.
 class DepartureAcks {
 public:
-    using Number = std::uint64_t;
+    using RequestNumber = std::uint64_t;
 
-    /// Waits from now on, until `until` at most.
-    void add(Number number, Micros until);
-    /// The controller with this inside address has the departure on disk. Unknown numbers are ignored.
-    void durableAt(Number number, const std::string& controller);
-    /// No edge proxy of the controller with this inside address uses the server any more.
-    void inForceAt(Number number, const std::string& controller);
-    /// Those that are on the disks of more than half of `voters`, and in force at all of `needed` (inside
-    /// addresses); they wait no more.
-    [[nodiscard]] std::vector<Number> takeConfirmed(const std::vector<std::string>& voters,
-                                                    const std::vector<std::string>& needed);
-    /// Those whose time is over; they wait no more.
-    [[nodiscard]] std::vector<Number> takeLate(Micros now);
-    /// All; none waits any more.
-    [[nodiscard]] std::vector<Number> takeAll();
+    /// Adds a request, which expires at `deadline`.
+    void add(RequestNumber number, Micros deadline);
+    /// The controller with this inside address has the departures on disk. Unknown numbers are ignored.
+    void markDurable(RequestNumber number, const std::string& controller);
+    /// No edge proxy of the controller with this inside address uses the servers any more.
+    void markInForce(RequestNumber number, const std::string& controller);
+    /// Removes and returns the requests that are on the disks of more than half of `voters` and in force at
+    /// all of `controllers` (both given as inside addresses).
+    [[nodiscard]] std::vector<RequestNumber> takeConfirmed(const std::vector<std::string>& voters,
+                                                           const std::vector<std::string>& controllers);
+    /// Removes and returns the requests past their deadline.
+    [[nodiscard]] std::vector<RequestNumber> takeExpired(Micros now);
+    /// Removes and returns all requests.
+    [[nodiscard]] std::vector<RequestNumber> takeAll();
 
 private:
-    struct Waiting {
-        Micros until = 0;
+    struct PendingRequest {
+        Micros deadline = 0;
         std::set<std::string> durableAt, inForceAt;  // inside addresses
     };
-    std::map<Number, Waiting> waiting_;
+    std::map<RequestNumber, PendingRequest> pending_;
 };
 
 }  // namespace marldale::controller
--- a/src/gateway/controller/desired_resources.cpp
+++ b/src/gateway/controller/desired_resources.cpp
@@ -1,5 +1,5 @@
-// What each edge proxy is to hold, derived from the configuration and the registry of servers, and how it
-// goes out.
+// Derives the resources that every edge proxy should hold from the configuration and the registry of servers,
+// and distributes them.
 #include <string_view>
 #include <utility>
 
@@ -9,42 +9,45 @@
 namespace marldale::controller {
 namespace {
 
-constexpr Micros kModuleListEvery = 250000;
-constexpr std::size_t kModulesASlice = 8;  // of the loop's time
+constexpr Micros kModuleListIntervalUs = 250000;
+constexpr std::size_t kModulesPerSlice = 8;  // decision modules run in one slice of the event loop
 
-std::uint64_t markOfLines(std::uint64_t mark) { return mark * 2; }
-std::uint64_t markOfModules(std::uint64_t mark) { return mark * 2 + 1; }
+// One proxy acknowledges both kinds of batch, so the lowest bit of a mark tells them apart.
+std::uint64_t resourceMark(std::uint64_t mark) { return mark * 2; }
+std::uint64_t moduleMark(std::uint64_t mark) { return mark * 2 + 1; }
 
 }  // namespace
 
-void Controller::configurationChanged(Micros now) {
-    const BudgetPart part = budgetOf(proxiesMost_, settings_.bounds.retryRatio, settings_.bounds.extraTries,
-                                     settings_.bounds.retryWindow);
+void Controller::onConfigurationChanged(Micros now) {
+    const RetryBudgetShare share =
+        retryBudgetShareOf(recentMaxProxies_, settings_.bounds.retryRatio, settings_.bounds.extraTries,
+                           settings_.bounds.retryWindow);
     proto::BudgetResource budget;
-    budget.set_per_request(part.perRequest);
-    budget.set_per_s(part.perS);
-    budget.set_burst(part.burst);
+    budget.set_per_request(share.perRequest);
+    budget.set_per_s(share.perS);
+    budget.set_burst(share.burst);
     const configuration::Configuration& configuration = configurations_.configuration();
     const auto changed = configurationResources_.follow(
         {configuration, configurations_.emptied(), budget, configurations_.index() > 0});
     if (changed.serviceNames) steering_.services(distribution::serviceSpecsOf(configuration));
-    // Servers' resources name parts of what their service allows, by the number of proxies, as the budget
-    // does; servers of a zone that is taken back are cold.
-    if (changed.services || changed.emptiedZones || changed.budget) serversChanged(now);
-    flushDue_ = true;
+    // The resource of a server contains shares of the limits of its service, divided by the number of proxies
+    // as the budget is. Servers of a zone that is reopened are cold.
+    if (changed.services || changed.emptiedZones || changed.budget) markAllServersChanged(now);
+    distributionDue_ = true;
 }
 
-void Controller::serversChanged(Micros now) {
+void Controller::markAllServersChanged(Micros now) {
     allServersChanged_ = true;
     distributionLoop_.schedule.requestUrgent(now);
 }
 
-void Controller::registryChanged(Micros now) { distributionLoop_.schedule.requestUrgent(now); }
+void Controller::onRegistryChanged(Micros now) { distributionLoop_.schedule.requestUrgent(now); }
 
-// Before a turn of distribution, so that all that came since the last one costs one pass over what changed.
-void Controller::deriveServers(Micros now) {
+// Called before a turn of distribution, so that all changes since the last turn cost one pass over the
+// servers that changed.
+void Controller::deriveServerResources(Micros now) {
     std::set<std::string> changed = registry_.takeChanged();
-    if (std::exchange(allServersChanged_, false)) addAllServers(changed);
+    if (std::exchange(allServersChanged_, false)) addAllServerIds(changed);
     if (changed.empty()) return;
     std::map<std::string_view, const proto::ServiceResource*> services;
     for (const proto::ServiceResource& service : configurations_.configuration().services)
@@ -52,7 +55,7 @@
     for (const std::string& id : changed) {
         const auto server = registry_.servers().find(id);
         if (server == registry_.servers().end()) {
-            putAbsent(id);
+            putAbsentServer(id);
             continue;
         }
         const auto service = services.find(server->second.said.service());
@@ -61,41 +64,41 @@
     moduleListChanged_ = true;
 }
 
-void Controller::addAllServers(std::set<std::string>& ids) const {
-    for (const auto& [key, wanted] : distributor_.wanted()) {
+void Controller::addAllServerIds(std::set<std::string>& ids) const {
+    for (const auto& [key, resource] : distributor_.wanted()) {
         if (key[0] == 'v' || key[0] == 'x') ids.insert(key.substr(2));
     }
     for (const auto& [id, server] : registry_.servers()) ids.insert(id);
-    for (const auto& [id, since] : registry_.departed()) ids.insert(id);
+    for (const auto& [id, departedAt] : registry_.departed()) ids.insert(id);
 }
 
-// Of a server that is not in the registry.
-void Controller::putAbsent(const std::string& id) {
+// Updates the resources of a server that is not in the registry.
+void Controller::putAbsentServer(const std::string& id) {
     distributor_.remove("v " + id);
     if (registry_.departed().count(id) != 0) {
-        putDrop(id);
+        putServerDrop(id);
     } else {
         distributor_.remove("x " + id);
     }
 }
 
-// A module compares its whole list of servers and judges all of them: changes that come in quick succession
-// go to it together. What may not be used any more has been told to the proxies by name before.
+// A decision module compares its whole list of servers and evaluates all of them, so changes that come in
+// quick succession are passed to it together. The proxies have been told before which servers to stop using.
 void Controller::updateModuleLists(Micros now) {
     if (!moduleListChanged_ || now < nextModuleList_) return;
     moduleListChanged_ = false;
-    nextModuleList_ = now + kModuleListEvery;
-    std::vector<distribution::ServerSpec> specs;
-    specs.reserve(registry_.servers().size());
+    nextModuleList_ = now + kModuleListIntervalUs;
+    std::vector<distribution::ServerSpec> serverSpecs;
+    serverSpecs.reserve(registry_.servers().size());
     for (const auto& [id, server] : registry_.servers()) {
-        specs.push_back({id, server.said.service(), server.said.zone(), server.said.free_places(),
-                         server.said.emptying(), registry_.coldLeft(server, now)});
+        serverSpecs.push_back({id, server.said.service(), server.said.zone(), server.said.free_places(),
+                               server.said.emptying(), registry_.coldLeft(server, now)});
     }
-    steering_.servers(now, specs);
+    steering_.servers(now, serverSpecs);
 }
 
-// Said also to proxies that may hold the server from another controller.
-void Controller::putDrop(const std::string& id) {
+// Drops a server by name, also at proxies that may hold it from another controller.
+void Controller::putServerDrop(const std::string& id) {
     const std::string key = "x " + id;
     if (distributor_.wanted().count(key) != 0) return;
     proto::Resource resource;
@@ -103,7 +106,7 @@
     distributor_.put(key, distribution::wantedOf(std::move(resource), true));
 }
 
-// Without a service nobody is told of the server.
+// A server without a configured service is not distributed.
 void Controller::putServer(const registry::Server& server, const proto::ServiceResource* service,
                            Micros now) {
     const std::string& id = server.said.id();
@@ -111,32 +114,32 @@
     proto::Resource resource;
     if (!server.usable() || service == nullptr) {
         distributor_.remove(key);
-        if (!server.usable()) putDrop(id);
+        if (!server.usable()) putServerDrop(id);
         return;
     }
     distributor_.remove("x " + id);
-    auto* line = resource.mutable_server();
-    line->set_id(id);
-    line->set_service(server.said.service());
-    line->set_address(server.said.address());
-    line->set_zone(server.said.zone());
-    const ProxyShare parts =
-        proxyShareOf({proxiesMost_, server.said.free_places(), service->max_connections(),
+    auto* serverResource = resource.mutable_server();
+    serverResource->set_id(id);
+    serverResource->set_service(server.said.service());
+    serverResource->set_address(server.said.address());
+    serverResource->set_zone(server.said.zone());
+    const ProxyShare share =
+        proxyShareOf({recentMaxProxies_, server.said.free_places(), service->max_connections(),
                       service->cold_per_s(), settings_.bounds.coldExcess, settings_.bounds.coldMargin});
-    line->set_in_flight_most(parts.inFlight);
-    line->set_connections_most(parts.connections);
-    line->set_cold_most(parts.cold);
+    serverResource->set_in_flight_most(share.inFlight);
+    serverResource->set_connections_most(share.connections);
+    serverResource->set_cold_most(share.cold);
     const bool cold = registry_.coldLeft(server, now) > 0;
     const auto seed = static_cast<std::uint64_t>(cold ? server.coldUntil / 100000 : 0);
     distributor_.put(key, distribution::wantedOf(std::move(resource), cold, seed));
 }
 
-// Distribution runs behind what the loop has ready: Raft messages, heartbeats, acknowledgements and calls go
-// first, and between two slices the loop looks for more of them.
+// Distribution runs after whatever the event loop has ready: Raft messages, heartbeats, acknowledgements and
+// calls go first, also between two slices of distribution.
 void Controller::wakeDistribution(Micros now) {
-    // Without contact with a majority nothing is distributed; what is due goes out once contact is back.
-    if (flushDue_ && inQuorumContact(now)) {
-        flushDue_ = false;
+    // Without quorum contact nothing is distributed; what is due is sent once contact is restored.
+    if (distributionDue_ && inQuorumContact(now)) {
+        distributionDue_ = false;
         distributionLoop_.schedule.request(now);
     }
     distributionLoop_.wake();
@@ -148,10 +151,10 @@
     const auto proxy = proxies_.find(frame.proxy);
     if (proxy == proxies_.end()) return;
     proxy->second.link->sendSerialized(*frame.bytes);
-    if (frame.index != 0) proxy->second.index = frame.index;
+    if (frame.index != 0) proxy->second.configurationIndex = frame.index;
 }
 
-// Cold times are spans from now, so they are filled in as a resource goes out.
+// Cold times are durations from now, so they are filled in when a resource is sent.
 void Controller::fillColdTimes(std::vector<proto::Resource>& resources, Micros now) const {
     for (proto::Resource& resource : resources) {
         if (!resource.has_server()) continue;
@@ -161,58 +164,60 @@
     }
 }
 
-void Controller::flush(Micros now) {
+void Controller::distributeResources(Micros now) {
     if (!inQuorumContact(now)) {
-        flushDue_ = true;
+        distributionDue_ = true;
         return;
     }
-    deriveServers(now);
+    deriveServerResources(now);
     updateModuleLists(now);
-    for (auto& [id, proxy] : proxies_) admit(id, proxy, now);
+    for (auto& [id, proxy] : proxies_) admitToDistribution(id, proxy, now);
     for (distribution::ResourceDistributor::Batch& batch : distributor_.turn(now)) {
         fillColdTimes(batch.lines, now);
         proto::Frame frame;
-        auto* orders = frame.mutable_batch();
-        orders->set_mark(markOfLines(batch.mark));
-        orders->set_fresh(batch.fresh);
-        orders->set_servers_whole(batch.fresh && whole(now));
-        if (batch.whole) orders->set_index(configurations_.index());
-        for (proto::Resource& resource : batch.lines) *orders->add_resources() = std::move(resource);
+        auto* resourceBatch = frame.mutable_batch();
+        resourceBatch->set_mark(resourceMark(batch.mark));
+        resourceBatch->set_fresh(batch.fresh);
+        resourceBatch->set_servers_whole(batch.fresh && knowsAllServers(now));
+        if (batch.whole) resourceBatch->set_index(configurations_.index());
+        for (proto::Resource& resource : batch.lines) *resourceBatch->add_resources() = std::move(resource);
         const auto bytes = std::make_shared<const std::string>(frame.SerializeAsString());
         for (const distribution::ProxyId proxy : batch.proxies) {
-            distributionLoop_.outbox.add({proxy, bytes, orders->index()});
+            distributionLoop_.outbox.add({proxy, bytes, resourceBatch->index()});
             const auto bound = proxies_.find(proxy);
-            if (batch.fresh && bound != proxies_.end()) bound->second.serversWhole = orders->servers_whole();
+            if (batch.fresh && bound != proxies_.end())
+                bound->second.serverListComplete = resourceBatch->servers_whole();
         }
     }
-    sendServersWhole(now);
+    sendServerListComplete(now);
     updateBarrier(now);
     if (const Micros due = distributor_.nextDue(); due != INT64_MAX)
         distributionLoop_.schedule.requestAt(due);
-    arm();
+    armTimer();
 }
 
-// A proxy whose copy came before this controller knew all servers keeps those that the copy didn't name. Once
-// all are known, and it holds them, the others go.
-void Controller::sendServersWhole(Micros now) {
-    if (!whole(now)) return;
+// A proxy that received its full copy before this controller knew all servers keeps the servers that the copy
+// did not name. Once all servers are known and the proxy has acknowledged them, it is told to drop the
+// others.
+void Controller::sendServerListComplete(Micros now) {
+    if (!knowsAllServers(now)) return;
     proto::Frame frame;
     frame.mutable_batch()->set_servers_whole(true);
     const auto bytes = std::make_shared<const std::string>(frame.SerializeAsString());
     for (auto& [id, proxy] : proxies_) {
-        if (!proxy.joined || proxy.serversWhole || distributor_.unanswered(id)) continue;
-        proxy.serversWhole = true;
+        if (!proxy.inDistribution || proxy.serverListComplete || distributor_.unanswered(id)) continue;
+        proxy.serverListComplete = true;
         distributionLoop_.outbox.add({id, bytes, 0});
     }
 }
 
 void Controller::runModules(Micros now) {
     if (steering_.nextDue() > now) return;
-    for (distribution::Steering::Batch& batch : steering_.turn(now, kModulesASlice)) {
+    for (distribution::Steering::Batch& batch : steering_.turn(now, kModulesPerSlice)) {
         proto::Frame frame;
-        auto* orders = frame.mutable_batch();
-        orders->set_mark(markOfModules(batch.mark));
-        for (proto::Resource& resource : batch.lines) *orders->add_resources() = std::move(resource);
+        auto* resourceBatch = frame.mutable_batch();
+        resourceBatch->set_mark(moduleMark(batch.mark));
+        for (proto::Resource& resource : batch.lines) *resourceBatch->add_resources() = std::move(resource);
         distributionLoop_.outbox.add(
             {batch.proxy, std::make_shared<const std::string>(frame.SerializeAsString()), 0});
     }
--- a/src/gateway/controller/disk_writer.cpp
+++ b/src/gateway/controller/disk_writer.cpp
@@ -14,9 +14,9 @@
 namespace marldale::controller {
 namespace {
 
-constexpr auto kAgainAfter = std::chrono::milliseconds(150);
+constexpr auto kRetryDelay = std::chrono::milliseconds(150);
 
-bool writeWhole(const std::string& path, const std::string& text) {
+bool writeAndSync(const std::string& path, const std::string& text) {
     const int file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
     if (file < 0) return false;
     std::size_t at = 0;
@@ -25,28 +25,31 @@
         if (wrote <= 0) break;
         at += static_cast<std::size_t>(wrote);
     }
-    const bool whole = at == text.size() && ::fdatasync(file) == 0;
-    return ::close(file) == 0 && whole;
+    const bool complete = at == text.size() && ::fdatasync(file) == 0;
+    return ::close(file) == 0 && complete;
 }
-bool syncFolderOf(const std::string& path) {
-    const int folder = ::open(path.substr(0, path.rfind('/')).c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (folder < 0) return false;
-    const bool synced = ::fsync(folder) == 0;
-    return ::close(folder) == 0 && synced;
+bool syncDirectoryOf(const std::string& path) {
+    const int directory = ::open(path.substr(0, path.rfind('/')).c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    if (directory < 0) return false;
+    const bool synced = ::fsync(directory) == 0;
+    return ::close(directory) == 0 && synced;
 }
 
 }  // namespace
 
 DiskWriter::DiskWriter(boost::asio::io_context& io, std::unique_ptr<raft::Store> store,
-                       std::function<void(std::uint64_t)> done, std::function<void(std::string)> failed)
-    : io_(io), store_(std::move(store)), done_(std::move(done)), failed_(std::move(failed)), thread_([this] {
-          run();
-      }) {}
+                       std::function<void(std::uint64_t)> onWritten,
+                       std::function<void(std::string)> onFailed)
+    : io_(io),
+      store_(std::move(store)),
+      onWritten_(std::move(onWritten)),
+      onFailed_(std::move(onFailed)),
+      thread_([this] { run(); }) {}
 
 DiskWriter::~DiskWriter() {
     {
         const std::lock_guard lock(mutex_);
-        ending_ = true;
+        stopping_ = true;
     }
     changed_.notify_one();
     thread_.join();
@@ -60,24 +63,24 @@
     changed_.notify_one();
 }
 
-void DiskWriter::keep(std::string path, std::string text, std::function<void(bool)> ended) {
+void DiskWriter::writeFile(std::string path, std::string text, std::function<void(bool)> onEnd) {
     {
         const std::lock_guard lock(mutex_);
-        keeping_[std::move(path)] = {std::move(text), std::move(ended)};
+        pendingFiles_[std::move(path)] = {std::move(text), std::move(onEnd)};
     }
     changed_.notify_one();
 }
 
-void DiskWriter::writeKept(const std::string& path, const Keep& keep) {
-    std::string head;
-    bytes::putFixed(head, static_cast<std::uint64_t>(XXH3_64bits(keep.text.data(), keep.text.size())));
-    const std::string beside = path + ".new";
-    const bool durable = writeWhole(beside, head + keep.text) &&
-                         std::rename(beside.c_str(), path.c_str()) == 0 && syncFolderOf(path);
-    if (keep.ended) boost::asio::post(io_, [ended = keep.ended, durable] { ended(durable); });
+void DiskWriter::writePendingFile(const std::string& path, const PendingFile& file) {
+    std::string checksum;
+    bytes::putFixed(checksum, static_cast<std::uint64_t>(XXH3_64bits(file.text.data(), file.text.size())));
+    const std::string temporary = path + ".new";
+    const bool durable = writeAndSync(temporary, checksum + file.text) &&
+                         std::rename(temporary.c_str(), path.c_str()) == 0 && syncDirectoryOf(path);
+    if (file.onEnd) boost::asio::post(io_, [onEnd = file.onEnd, durable] { onEnd(durable); });
 }
 
-std::optional<std::string> DiskWriter::kept(const std::string& path) {
+std::optional<std::string> DiskWriter::readFile(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::ostringstream all;
     if (!file || !(all << file.rdbuf())) return std::nullopt;
@@ -91,31 +94,31 @@
 void DiskWriter::run() {
     std::unique_lock lock(mutex_);
     while (true) {
-        changed_.wait(lock, [this] { return ending_ || !queue_.empty() || !keeping_.empty(); });
-        if (queue_.empty() && !keeping_.empty() && !ending_) {
-            const auto next = keeping_.extract(keeping_.begin());
+        changed_.wait(lock, [this] { return stopping_ || !queue_.empty() || !pendingFiles_.empty(); });
+        if (queue_.empty() && !pendingFiles_.empty() && !stopping_) {
+            const auto next = pendingFiles_.extract(pendingFiles_.begin());
             lock.unlock();
-            writeKept(next.key(), next.mapped());
+            writePendingFile(next.key(), next.mapped());
             lock.lock();
             continue;
         }
         if (queue_.empty()) return;
         const raft::Write next = std::move(queue_.front());
         queue_.pop_front();
-        bool told = false;
+        bool reported = false;
         while (true) {
             lock.unlock();
             const absl::Status status = store_->write(next);
             lock.lock();
             if (status.ok()) break;
-            if (!told) {
-                told = true;
-                boost::asio::post(io_, [this, text = std::string(status.message())] { failed_(text); });
+            if (!reported) {
+                reported = true;
+                boost::asio::post(io_, [this, text = std::string(status.message())] { onFailed_(text); });
             }
-            changed_.wait_for(lock, kAgainAfter, [this] { return ending_; });
-            if (ending_) return;
+            changed_.wait_for(lock, kRetryDelay, [this] { return stopping_; });
+            if (stopping_) return;
         }
-        boost::asio::post(io_, [this, number = next.number] { done_(number); });
+        boost::asio::post(io_, [this, number = next.number] { onWritten_(number); });
     }
 }
 
--- a/src/gateway/controller/durable_copy.h
+++ b/src/gateway/controller/durable_copy.h
@@ -1,5 +1,5 @@
-// A text that changes and is written whole to disk, one write at a time, and what waits until its present
-// form is durable. The write itself is the owner's. No I/O.
+// Keeps a copy of a changing text on disk: the text is written whole, one write at a time, and callbacks wait
+// until the current version is durable. The owner performs the write. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,42 +9,43 @@
 
 namespace marldale::controller {
 
+/// Tracks which version of a text is durable, and starts the writes.
 class DurableCopy {
 public:
-    /// Told, once, whether the text is durable.
-    using Written = std::function<void(bool)>;
-    /// Begins to write; may call back at any later time, or never if the disk hangs. Null: there is no disk,
-    /// and every change counts as durable at once.
-    using Writer = std::function<void(const std::string&, Written)>;
+    /// Called once per write, with whether the text is durable.
+    using WriteCallback = std::function<void(bool)>;
+    /// Starts a write. The callback may come at any later time, or never if the disk hangs. If null, there is
+    /// no disk and every change counts as durable at once.
+    using Writer = std::function<void(const std::string&, WriteCallback)>;
 
-    /// Makes the present text. Called once a write, however many changes came before it.
-    using Text = std::function<std::string()>;
+    /// Returns the current text. Called once per write, however many changes came before it.
+    using TextSource = std::function<std::string()>;
 
-    DurableCopy(Writer writer, Text text) : writer_(std::move(writer)), text_(std::move(text)) {}
+    DurableCopy(Writer writer, TextSource text) : writer_(std::move(writer)), text_(std::move(text)) {}
     DurableCopy(const DurableCopy&) = delete;
     DurableCopy& operator=(const DurableCopy&) = delete;
 
-    /// The text is another one from now on.
-    void change();
-    /// Calls `then` once all changes so far are durable: now, or later.
+    /// Records that the text has changed, and starts a write if none is under way.
+    void markChanged();
+    /// Calls `then` once all changes so far are durable, immediately if they are already.
     void whenDurable(std::function<void()> then);
-    /// After a write that failed: tries again.
+    /// Starts a write again after a failed one. Does nothing if all is durable or a write is under way.
     void retry() { write(); }
 
 private:
     using Version = std::uint64_t;
-    struct Waiting {
+    struct Waiter {
         Version version = 0;
         std::function<void()> then;
     };
     void write();
-    void written(Version version, bool succeeded);
+    void onWritten(Version version, bool succeeded);
 
     Writer writer_;
-    Text text_;
-    Version version_ = 0, durable_ = 0;
+    TextSource text_;
+    Version version_ = 0, durableVersion_ = 0;
     bool writing_ = false;
-    std::deque<Waiting> waiting_;  // by version
+    std::deque<Waiter> waiters_;  // in the order of their versions
 };
 
 }  // namespace marldale::controller
--- a/src/gateway/controller/order_queue.cpp
+++ b/src/gateway/controller/order_queue.cpp
@@ -27,7 +27,7 @@
 std::optional<std::string> ReplicaLog::leader() const {
     const auto leader = replica_.leader();
     if (!leader) return std::nullopt;
-    // An earlier run of this very process can't be asked.
+    // The known leader is an earlier run of this process, so no request can be redirected to it.
     if (!replica_.leads() && leader->address() == replica_.self().address()) return std::nullopt;
     return leader->address();
 }
@@ -38,10 +38,10 @@
         case UnavailableReason::noQuorumContact: return "no contact with a majority of the controllers";
         case UnavailableReason::noLeader: return "no leader is known";
         case UnavailableReason::leadershipLost: return "the leader has changed";
-        case UnavailableReason::logRefused: return "the log takes no entries now";
+        case UnavailableReason::logRefused: return "the log accepts no entries now";
         case UnavailableReason::timedOut: return "not committed in time";
         case UnavailableReason::undecided: return "the order's record has been dropped";
-        case UnavailableReason::stopping: return "this controller stops";
+        case UnavailableReason::stopping: return "this controller is shutting down";
     }
     return "";
 }
@@ -52,53 +52,54 @@
 }
 
 void OrderQueue::submit(Micros now, OrderId id, std::string change) {
-    dispatch(now, {{id, std::move(change)}, now + limits_.leaderKnown});
+    dispatch(now, {{id, std::move(change)}, now + limits_.leaderWait});
 }
 
 void OrderQueue::read(Micros now, OrderId id) {
-    dispatch(now, {{id, std::nullopt}, now + limits_.leaderKnown});
+    dispatch(now, {{id, std::nullopt}, now + limits_.leaderWait});
 }
 
-void OrderQueue::dispatch(Micros now, Held held) {
-    const OrderId id = held.call.id;
-    if (stopping_) return endUnavailable(id, UnavailableReason::stopping);
+void OrderQueue::dispatch(Micros now, WaitingCall waiting) {
+    const OrderId id = waiting.call.id;
+    if (stopping_) return replyUnavailable(id, UnavailableReason::stopping);
     const auto leader = log_.leader();
-    const bool contact = inContact(now);
-    const bool never = log_.quorumContactAge(now) < 0;
+    const bool hasContact = inContact(now);
+    const bool neverInContact = log_.quorumContactAge(now) < 0;
     if (log_.leads()) {
-        if (contact || faults_.answersWithoutContact) return begin(now, std::move(held.call));
-    } else if (leader && (contact || never)) {
-        // That one proves its own contact before it answers.
+        if (hasContact || faults_.answersWithoutContact) return start(now, std::move(waiting.call));
+    } else if (leader && (hasContact || neverInContact)) {
+        // The leader verifies its own contact with a majority before it answers.
         replies_.push_back({id, OrderOutcome::redirect, UnavailableReason::none, *leader});
         return;
-    } else if (!contact && !never) {
-        return endUnavailable(id, UnavailableReason::noQuorumContact);
+    } else if (!hasContact && !neverInContact) {
+        return replyUnavailable(id, UnavailableReason::noQuorumContact);
     }
-    // An election is under way, or a new leader's first entry.
-    if (now >= held.until)
-        return endUnavailable(id, leader ? UnavailableReason::noQuorumContact : UnavailableReason::noLeader);
-    held_.push_back(std::move(held));
+    // An election is under way, or a new leader has not committed its first entry yet.
+    if (now >= waiting.deadline)
+        return replyUnavailable(id,
+                                leader ? UnavailableReason::noQuorumContact : UnavailableReason::noLeader);
+    waitingForLeader_.push_back(std::move(waiting));
 }
 
-void OrderQueue::begin(Micros now, Call call) {
+void OrderQueue::start(Micros now, Call call) {
     if (!call.change) {
         if (faults_.answersWithoutContact) {
             replies_.push_back({call.id, OrderOutcome::readConfirmed, UnavailableReason::none, {}});
             return;
         }
-        reads_[++lastTicket_] = {call.id, now + limits_.read};
+        pendingReads_[++lastTicket_] = {call.id, now + limits_.read};
         return log_.read(now, lastTicket_);
     }
     const auto index = log_.propose(now, std::move(*call.change));
-    if (!index) return endUnavailable(call.id, UnavailableReason::logRefused);
+    if (!index) return replyUnavailable(call.id, UnavailableReason::logRefused);
     if (faults_.confirmsOnPropose) {
         replies_.push_back({call.id, OrderOutcome::confirmed, UnavailableReason::none, {}});
         return;
     }
-    proposed_.emplace(*index, Proposed{call.id, log_.term(), now + limits_.order});
+    proposed_.emplace(*index, ProposedOrder{call.id, log_.term(), now + limits_.order});
 }
 
-void OrderQueue::endUnavailable(OrderId id, UnavailableReason reason) {
+void OrderQueue::replyUnavailable(OrderId id, UnavailableReason reason) {
     const auto outcome = faults_.rejectsUnavailable ? OrderOutcome::rejectedStale : OrderOutcome::unavailable;
     replies_.push_back({id, outcome, reason, {}});
 }
@@ -109,7 +110,7 @@
         if (at->second.term == term) {
             replies_.push_back(replyOf(at->second.id, verdict));
         } else {
-            endUnavailable(at->second.id, UnavailableReason::leadershipLost);
+            replyUnavailable(at->second.id, UnavailableReason::leadershipLost);
         }
     }
     proposed_.erase(from, to);
@@ -118,69 +119,69 @@
 void OrderQueue::installed(raft::Index through) {
     const auto end = proposed_.upper_bound(through);
     for (auto at = proposed_.begin(); at != end; ++at)
-        endUnavailable(at->second.id, UnavailableReason::leadershipLost);
+        replyUnavailable(at->second.id, UnavailableReason::leadershipLost);
     proposed_.erase(proposed_.begin(), end);
 }
 
 void OrderQueue::readEnded(const raft::ReadEnd& end) {
-    const auto at = reads_.find(end.ticket);
-    if (at == reads_.end()) return;
+    const auto at = pendingReads_.find(end.ticket);
+    if (at == pendingReads_.end()) return;
     const OrderId id = at->second.id;
-    reads_.erase(at);
-    if (!end.sure) return endUnavailable(id, UnavailableReason::leadershipLost);
+    pendingReads_.erase(at);
+    if (!end.sure) return replyUnavailable(id, UnavailableReason::leadershipLost);
     replies_.push_back({id, OrderOutcome::readConfirmed, UnavailableReason::none, {}});
 }
 
 void OrderQueue::update(Micros now) {
     const bool cutOff = !log_.leads() && log_.quorumContactAge(now) >= 0 && !inContact(now);
     if (cutOff) {
-        endAll(UnavailableReason::noQuorumContact);
+        replyUnavailableToAll(UnavailableReason::noQuorumContact);
     } else {
-        endLate(now);
-        dispatchHeld(now);
+        expireCalls(now);
+        dispatchWaiting(now);
     }
 }
 
-void OrderQueue::endLate(Micros now) {
+void OrderQueue::expireCalls(Micros now) {
     for (auto at = proposed_.begin(); at != proposed_.end();) {
-        const bool late = now >= at->second.until;
-        if (late) endUnavailable(at->second.id, UnavailableReason::timedOut);
-        at = late ? proposed_.erase(at) : std::next(at);
+        const bool expired = now >= at->second.deadline;
+        if (expired) replyUnavailable(at->second.id, UnavailableReason::timedOut);
+        at = expired ? proposed_.erase(at) : std::next(at);
     }
-    for (auto at = reads_.begin(); at != reads_.end();) {
-        const bool late = now >= at->second.until;
-        if (late) endUnavailable(at->second.id, UnavailableReason::timedOut);
-        at = late ? reads_.erase(at) : std::next(at);
+    for (auto at = pendingReads_.begin(); at != pendingReads_.end();) {
+        const bool expired = now >= at->second.deadline;
+        if (expired) replyUnavailable(at->second.id, UnavailableReason::timedOut);
+        at = expired ? pendingReads_.erase(at) : std::next(at);
     }
 }
 
-void OrderQueue::dispatchHeld(Micros now) {
-    std::deque<Held> again;
-    again.swap(held_);
-    for (Held& held : again) dispatch(now, std::move(held));
+void OrderQueue::dispatchWaiting(Micros now) {
+    std::deque<WaitingCall> waiting;
+    waiting.swap(waitingForLeader_);
+    for (WaitingCall& call : waiting) dispatch(now, std::move(call));
 }
 
-void OrderQueue::endAll(UnavailableReason reason) {
-    for (const auto& [index, order] : proposed_) endUnavailable(order.id, reason);
-    for (const auto& [ticket, read] : reads_) endUnavailable(read.id, reason);
-    for (const Held& held : held_) endUnavailable(held.call.id, reason);
+void OrderQueue::replyUnavailableToAll(UnavailableReason reason) {
+    for (const auto& [index, order] : proposed_) replyUnavailable(order.id, reason);
+    for (const auto& [ticket, read] : pendingReads_) replyUnavailable(read.id, reason);
+    for (const WaitingCall& waiting : waitingForLeader_) replyUnavailable(waiting.call.id, reason);
     proposed_.clear();
-    reads_.clear();
-    held_.clear();
+    pendingReads_.clear();
+    waitingForLeader_.clear();
 }
 
 void OrderQueue::finish() {
     stopping_ = true;
-    endAll(UnavailableReason::stopping);
+    replyUnavailableToAll(UnavailableReason::stopping);
 }
 
 std::vector<OrderReply> OrderQueue::takeReplies() { return std::exchange(replies_, {}); }
 
 Micros OrderQueue::nextDue() const {
     Micros due = kNever;
-    for (const auto& [index, order] : proposed_) due = std::min(due, order.until);
-    for (const auto& [ticket, read] : reads_) due = std::min(due, read.until);
-    for (const Held& held : held_) due = std::min(due, held.until);
+    for (const auto& [index, order] : proposed_) due = std::min(due, order.deadline);
+    for (const auto& [ticket, read] : pendingReads_) due = std::min(due, read.deadline);
+    for (const WaitingCall& waiting : waitingForLeader_) due = std::min(due, waiting.deadline);
     return due;
 }
 
--- a/src/gateway/controller/orders.cpp
+++ b/src/gateway/controller/orders.cpp
@@ -1,5 +1,5 @@
-// Calls that wait for the replicated log: from the operator's call into the order queue, and from its typed
-// replies to answers of HTTP.
+// Calls that wait for the replicated log: passes them to the order queue, and turns its replies into HTTP
+// replies.
 #include "gateway/controller/controller.h"
 #include "gateway/log/log.h"
 
@@ -14,7 +14,7 @@
         case OrderOutcome::rejectedStale: return "another version is current";
         case OrderOutcome::invalid: return "the version is not above the current one";
         case OrderOutcome::readConfirmed: return "read";
-        case OrderOutcome::redirect: return "another one leads";
+        case OrderOutcome::redirect: return "another controller leads";
         case OrderOutcome::unavailable: return "unavailable";
     }
     return "";
@@ -25,33 +25,33 @@
 bool Controller::inQuorumContact(Micros now) const { return orders_->inContact(now); }
 bool Controller::inQuorumContact() const { return inQuorumContact(steadyNow()); }
 
-void Controller::change(std::string change, std::string about, Answer answer) {
-    pendingCalls_[++lastOrder_] = {std::move(answer), std::move(about)};
-    orders_->submit(steadyNow(), lastOrder_, std::move(change));
+void Controller::change(std::string change, std::string description, ReplyCallback sendReply) {
+    pendingCalls_[++lastOrderId_] = {std::move(sendReply), std::move(description)};
+    orders_->submit(steadyNow(), lastOrderId_, std::move(change));
 }
 
-void Controller::read(Answer answer) {
-    pendingCalls_[++lastOrder_] = {std::move(answer), "read"};
-    orders_->read(steadyNow(), lastOrder_);
+void Controller::read(ReplyCallback sendReply) {
+    pendingCalls_[++lastOrderId_] = {std::move(sendReply), "read"};
+    orders_->read(steadyNow(), lastOrderId_);
 }
 
 Reply Controller::replyOf(const OrderReply& reply) const {
     switch (reply.outcome) {
         case OrderOutcome::confirmed: return {};
-        case OrderOutcome::rejectedStale: return problem(412, nameOf(reply.outcome));
-        case OrderOutcome::invalid: return problem(400, nameOf(reply.outcome));
+        case OrderOutcome::rejectedStale: return problemReply(412, nameOf(reply.outcome));
+        case OrderOutcome::invalid: return problemReply(400, nameOf(reply.outcome));
         case OrderOutcome::readConfirmed:
-            if (configurations_.json().empty()) return problem(404, "there is no configuration yet");
+            if (configurations_.json().empty()) return problemReply(404, "there is no configuration yet");
             return {200, configurations_.json(), {}};
         case OrderOutcome::redirect: {
-            Reply out = problem(307, nameOf(reply.outcome));
+            Reply out = problemReply(307, nameOf(reply.outcome));
             out.location = "http://" + reply.leader.substr(0, reply.leader.find(':')) +
                            settings_.control.substr(settings_.control.rfind(':'));
             return out;
         }
         case OrderOutcome::unavailable: break;
     }
-    return problem(503, textOf(reply.reason));
+    return problemReply(503, textOf(reply.reason));
 }
 
 void Controller::deliverReplies() {
@@ -60,16 +60,17 @@
         if (at == pendingCalls_.end()) continue;
         const PendingCall call = std::move(at->second);
         pendingCalls_.erase(at);
-        const bool refused =
+        const bool rejected =
             reply.outcome == OrderOutcome::rejectedStale || reply.outcome == OrderOutcome::invalid;
-        if (reply.outcome == OrderOutcome::confirmed) log::info("order_confirmed", {{"order", call.about}});
-        if (refused || reply.outcome == OrderOutcome::unavailable) {
-            log::info(refused ? "order_refused" : "order_unavailable",
-                      {{"order", call.about},
-                       {"why", refused ? nameOf(reply.outcome) : textOf(reply.reason)},
+        if (reply.outcome == OrderOutcome::confirmed)
+            log::info("order_confirmed", {{"order", call.description}});
+        if (rejected || reply.outcome == OrderOutcome::unavailable) {
+            log::info(rejected ? "order_refused" : "order_unavailable",
+                      {{"order", call.description},
+                       {"why", rejected ? nameOf(reply.outcome) : textOf(reply.reason)},
                        {"current", configurations_.configuration().version}});
         }
-        call.answer(replyOf(reply));
+        call.sendReply(replyOf(reply));
     }
 }
 
@@ -83,7 +84,7 @@
         for (const std::string& zone : before) {
             if (!configurations_.emptied().count(zone)) registry_.chilled(now, zone, warmUp);
         }
-        configurationChanged(now);
+        onConfigurationChanged(now);
         log::info("change_in_force",
                   {{"index", entry.index()}, {"version", configurations_.configuration().version}});
     }
@@ -96,7 +97,7 @@
     return verdict;
 }
 
-void Controller::applied(const proto::Entry& entry) {
+void Controller::applyEntry(const proto::Entry& entry) {
     configuration::Verdict verdict = configuration::Verdict::invalid;
     if (entry.kind() == proto::Entry::CHANGE) verdict = applyChange(entry, steadyNow());
     orders_->committed(entry.index(), entry.term(), verdict);
--- a/src/gateway/controller/proxy_shares.cpp
+++ b/src/gateway/controller/proxy_shares.cpp
@@ -6,30 +6,34 @@
 namespace marldale::controller {
 namespace {
 
-constexpr double kQueueing = 6;  // requests that may be under way at a server for each of its places
-constexpr double kConnectionsUsed = 0.85, kColdUsed = 0.95, kBudgetUsed = 0.85;
-constexpr double kBurstShare = 0.5;  // of the extra tries of a window that may come at once
-
-std::uint32_t part(double whole, std::size_t proxies, std::uint32_t least) {
-    return std::max(least, static_cast<std::uint32_t>(
-                               std::floor(whole / static_cast<double>(std::max<std::size_t>(1, proxies)))));
+constexpr double kInFlightPerPlace = 6;  // in-flight requests allowed at a server for each of its places
+// The fraction of each limit that the proxies together get.
+constexpr double kConnectionFraction = 0.85, kColdRateFraction = 0.95, kBudgetFraction = 0.85;
+constexpr double kBurstFraction = 0.5;  // of the extra retries of a window that may come at once
+
+std::uint32_t shareOf(double total, std::size_t proxies, std::uint32_t minimum) {
+    return std::max(minimum, static_cast<std::uint32_t>(
+                                 std::floor(total / static_cast<double>(std::max<std::size_t>(1, proxies)))));
 }
 
 }  // namespace
 
-ProxyShare proxyShareOf(const Whole& whole) {
+ProxyShare proxyShareOf(const ServerLimits& limits) {
     ProxyShare out;
-    out.inFlight = part(kQueueing * std::max(1U, whole.places), whole.proxies, 1);
+    out.inFlight = shareOf(kInFlightPerPlace * std::max(1U, limits.places), limits.proxies, 1);
     out.connections =
-        whole.connections == 0 ? 64 : part(kConnectionsUsed * whole.connections, whole.proxies, 1);
-    out.cold = part(kColdUsed * (whole.coldPerS * whole.coldExcess + whole.coldMargin), whole.proxies, 0);
+        limits.connections == 0 ? 64 : shareOf(kConnectionFraction * limits.connections, limits.proxies, 1);
+    out.cold = shareOf(kColdRateFraction * (limits.coldPerS * limits.coldExcess + limits.coldMargin),
+                       limits.proxies, 0);
     return out;
 }
 
-BudgetPart budgetOf(std::size_t proxies, double ratio, unsigned extra, Micros window) {
-    const double mine = kBudgetUsed * extra / static_cast<double>(std::max<std::size_t>(1, proxies));
+RetryBudgetShare retryBudgetShareOf(std::size_t proxies, double ratio, unsigned extra, Micros window) {
+    const double extraPerProxy =
+        kBudgetFraction * extra / static_cast<double>(std::max<std::size_t>(1, proxies));
     const double seconds = static_cast<double>(window) / 1e6;
-    return {kBudgetUsed * ratio, (1 - kBurstShare) * mine / seconds, kBurstShare * mine};
+    return {kBudgetFraction * ratio, (1 - kBurstFraction) * extraPerProxy / seconds,
+            kBurstFraction * extraPerProxy};
 }
 
 }  // namespace marldale::controller
--- a/src/gateway/controller/raft_events.h
+++ b/src/gateway/controller/raft_events.h
@@ -1,4 +1,4 @@
-// What the replicated log reports of elections, changes of members and snapshots, as lines of the log output.
+// Logs the events of the replicated log: elections, membership changes and snapshots.
 #pragma once
 
 #include "gateway/raft/replica.h"
--- a/src/gateway/controller/server_updates.cpp
+++ b/src/gateway/controller/server_updates.cpp
@@ -1,5 +1,5 @@
-// Servers' calls, what controllers pass on to each other of them, and the copy on disk that a restart begins
-// with.
+// Server heartbeats and sign-offs, the updates about servers that controllers exchange, and the copy on disk
+// that is loaded after a restart.
 #include <fstream>
 #include <random>
 
@@ -13,12 +13,12 @@
 using transport::Link;
 using transport::steadyNow;
 
-constexpr Micros kHintsEvery = 2000000;
+constexpr Micros kHintIntervalUs = 2000000;
 
 constexpr std::size_t kBootIdSize = 36;
-constexpr Micros kAgeUnknown = -1;
+constexpr Micros kUnknownAge = -1;
 
-// Of the kernel's present run; without one, a text that never equals itself on disk.
+// The boot id of the kernel. If there is none, a random text, which never matches the one on disk.
 std::string bootId() {
     std::string out;
     std::ifstream("/proc/sys/kernel/random/boot_id") >> out;
@@ -32,26 +32,28 @@
 
 }  // namespace
 
-bool Controller::whole(Micros now) const {
-    return gotWhole_ || now - startedAt_ > settings_.beatEvery * 5 / 2;
+bool Controller::knowsAllServers(Micros now) const {
+    return receivedAllServers_ || now - startedAt_ > settings_.beatEvery * 5 / 2;
 }
 
-proto::Frame Controller::updatesOf(const std::vector<std::string>& ids, bool all, Micros now) const {
+// With `all`, a complete list: it includes all departures.
+proto::Frame Controller::updatesFrame(const std::vector<std::string>& ids, bool all, Micros now) const {
     proto::Frame out;
-    auto* news = out.mutable_updates();
-    news->set_whole(all);
-    news->set_sender_whole(whole(now));
+    auto* updates = out.mutable_updates();
+    updates->set_whole(all);
+    updates->set_sender_whole(knowsAllServers(now));
     for (const std::string& id : ids) {
-        const auto at = registry_.servers().find(id);
-        if (at != registry_.servers().end()) {
-            *news->add_servers() = registry_.wordOf(at->second, now);
+        const auto found = registry_.servers().find(id);
+        if (found != registry_.servers().end()) {
+            *updates->add_servers() = registry_.wordOf(found->second, now);
         } else if (!all && registry_.departed().count(id) != 0) {
-            *news->add_servers() = registry_.departure(id, now);
+            *updates->add_servers() = registry_.departure(id, now);
         }
     }
-    // Also those that have gone: whoever was down or cut off when they went has not heard of it.
+    // Includes departed servers, because a controller that was down or cut off has not heard of them.
     if (all) {
-        for (proto::Server& departed : registry_.departures(now)) *news->add_servers() = std::move(departed);
+        for (proto::Server& departed : registry_.departures(now))
+            *updates->add_servers() = std::move(departed);
     }
     return out;
 }
@@ -60,81 +62,82 @@
     if (updatesDue_.empty()) return;
     const std::vector<std::string> ids(updatesDue_.begin(), updatesDue_.end());
     updatesDue_.clear();
-    sendToPeers(updatesOf(ids, false, now));
+    sendToPeers(updatesFrame(ids, false, now));
 }
 
-void Controller::receiveUpdates(const std::shared_ptr<Link>& link, const proto::ServerUpdates& news) {
+void Controller::onServerUpdates(const std::shared_ptr<Link>& link, const proto::ServerUpdates& updates) {
     const Micros now = steadyNow();
     bool changed = false;
     std::vector<std::string> ids;
-    const Micros delay = delayOf(link.get());
-    for (const proto::Server& update : news.servers()) {
+    const Micros delay = maxDelayOf(link.get());
+    for (const proto::Server& update : updates.servers()) {
         ids.push_back(update.id());
-        const proto::Server said = agedUpdate(update, delay);
-        const auto what = registry_.heard(now, said);
-        changed =
-            changed || what == registry::Registry::News::changed || what == registry::Registry::News::urgent;
-        if (what != registry::Registry::News::urgent) continue;
-        noteDeparture(said.id());
-        // Passed on once, with the next updates: whoever heard it first may be gone before it has told
-        // everyone.
-        updatesDue_.insert(said.id());
+        const proto::Server server = agedUpdate(update, delay);
+        const auto effect = registry_.heard(now, server);
+        changed = changed || effect == registry::Registry::News::changed ||
+                  effect == registry::Registry::News::urgent;
+        if (effect != registry::Registry::News::urgent) continue;
+        recordDeparture(server.id());
+        // Passed on once, with the next updates, because the controller that heard it first may fail before
+        // it has told all others.
+        updatesDue_.insert(server.id());
     }
-    if (news.whole() && news.sender_whole()) gotWhole_ = true;
-    if (changed) registryChanged(now);
-    if (news.number() != 0) confirmDepartures(link, news.number(), ids);
+    if (updates.whole() && updates.sender_whole()) receivedAllServers_ = true;
+    if (changed) onRegistryChanged(now);
+    if (updates.number() != 0) confirmDepartures(link, updates.number(), ids);
 }
 
-// Hints only: what is on disk is late by some seconds, so servers of it go soon if they don't beat. It spares
-// a system that starts over the wait for everyone's beat. Its age counts on the clock of the machine's boot,
-// which no step of the time of day moves; after another boot the age is unknown.
-void Controller::keepHints(Micros now) {
+// The copy on disk is only a hint: it is some seconds old, so servers from it are dropped soon unless they
+// send a heartbeat. It saves a deployment that restarts as a whole from waiting for the heartbeats of all
+// servers. Its age is measured on the clock since boot, which changes of the time of day do not affect; after
+// another boot the age is unknown.
+void Controller::saveServerHints(Micros now) {
     if (now < nextHints_ || settings_.dataFolder.empty() || registry_.servers().empty()) return;
-    nextHints_ = now + kHintsEvery;
+    nextHints_ = now + kHintIntervalUs;
     std::vector<std::string> all;
     for (const auto& [id, server] : registry_.servers()) all.push_back(id);
-    proto::Frame frame = updatesOf(all, true, now);
+    proto::Frame frame = updatesFrame(all, true, now);
     frame.mutable_updates()->set_number(static_cast<std::uint64_t>(now));
-    disk_->keep(settings_.dataFolder + "/servers", bootId() + frame.updates().SerializeAsString());
+    disk_->writeFile(settings_.dataFolder + "/servers", bootId() + frame.updates().SerializeAsString());
 }
 
-void Controller::readHints(Micros now) {
-    const auto text = DiskWriter::kept(settings_.dataFolder + "/servers");
+void Controller::loadServerHints(Micros now) {
+    const auto text = DiskWriter::readFile(settings_.dataFolder + "/servers");
     const std::string boot = bootId();
-    proto::ServerUpdates news;
-    if (!text || text->size() < kBootIdSize || !news.ParseFromString(text->substr(kBootIdSize))) return;
+    proto::ServerUpdates updates;
+    if (!text || text->size() < kBootIdSize || !updates.ParseFromString(text->substr(kBootIdSize))) return;
     const bool sameBoot = text->compare(0, kBootIdSize, boot) == 0;
-    const Micros ago = sameBoot ? now - static_cast<Micros>(news.number()) : kAgeUnknown;
-    for (const proto::Server& server : news.servers()) registry_.hint(now, server, ago);
+    const Micros age = sameBoot ? now - static_cast<Micros>(updates.number()) : kUnknownAge;
+    for (const proto::Server& server : updates.servers()) registry_.hint(now, server, age);
     log::info("servers_recalled", {{"servers", registry_.servers().size()}, {"same_boot", sameBoot}});
 }
 
-void Controller::beat(proto::Server said, Answer answer) {
+void Controller::beat(proto::Server server, ReplyCallback sendReply) {
     const Micros now = steadyNow();
-    const auto what = registry_.heard(now, said);
-    if (what != registry::Registry::News::old) updatesDue_.insert(said.id());
-    if (what == registry::Registry::News::changed || what == registry::Registry::News::urgent)
-        registryChanged(now);
-    if (what == registry::Registry::News::urgent) noteDeparture(said.id());
-    const bool leaves = what == registry::Registry::News::urgent || said.emptying() || said.gone();
-    if (!leaves) return answer({});
-    acknowledgeDeparture(said.id(), std::move(answer), now);
+    const auto effect = registry_.heard(now, server);
+    if (effect != registry::Registry::News::old) updatesDue_.insert(server.id());
+    if (effect == registry::Registry::News::changed || effect == registry::Registry::News::urgent)
+        onRegistryChanged(now);
+    if (effect == registry::Registry::News::urgent) recordDeparture(server.id());
+    const bool leaves = effect == registry::Registry::News::urgent || server.emptying() || server.gone();
+    if (!leaves) return sendReply({});
+    acknowledgeDeparture(server.id(), std::move(sendReply), now);
 }
 
-void Controller::leave(const std::string& id, Answer answer) {
-    proto::Server said;
-    const auto at = registry_.servers().find(id);
-    if (at != registry_.servers().end()) said = at->second.said;
-    said.set_id(id);
-    said.set_gone(true);
-    beat(std::move(said), std::move(answer));
+void Controller::leave(const std::string& id, ReplyCallback sendReply) {
+    proto::Server server;
+    const auto found = registry_.servers().find(id);
+    if (found != registry_.servers().end()) server = found->second.said;
+    server.set_id(id);
+    server.set_gone(true);
+    beat(std::move(server), std::move(sendReply));
 }
 
-Micros Controller::delayOf(const Link* link) const {
-    const auto name = names_.find(link);
-    if (name == names_.end()) return 0;
-    const auto clock = peerClocks_.find(name->second);
-    return clock == peerClocks_.end() ? 0 : clock->second.delay;
+Micros Controller::maxDelayOf(const Link* link) const {
+    const auto address = peerAddresses_.find(link);
+    if (address == peerAddresses_.end()) return 0;
+    const auto clock = peerClocks_.find(address->second);
+    return clock == peerClocks_.end() ? 0 : clock->second.maxDelay;
 }
 
 }  // namespace marldale::controller
--- a/src/gateway/controller/status.cpp
+++ b/src/gateway/controller/status.cpp
@@ -1,4 +1,4 @@
-// `GET /-/Status`.
+// Writes the body of the status reply, `GET /-/Status`.
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
@@ -6,7 +6,7 @@
 
 namespace marldale::controller {
 
-// JSON, with strings as they are kept here.
+// A named type for the JSON writer, so that controller.h can declare it without RapidJSON.
 class StatusWriter : public rapidjson::Writer<rapidjson::StringBuffer> {
 public:
     using Writer::Writer;
@@ -71,7 +71,7 @@
         json.Key("zone");
         writeString(json, proxy.peer.zone());
         json.Key("index");
-        json.Uint64(proxy.index);
+        json.Uint64(proxy.configurationIndex);
         json.Key("unanswered");
         json.Bool(distributor_.unanswered(id));
         json.EndObject();
--- a/src/gateway/controller/update_age.h
+++ b/src/gateway/controller/update_age.h
@@ -1,4 +1,4 @@
-// The age of what controllers pass on to each other of servers. No I/O.
+// Corrects the age of server updates that controllers pass on to each other. No I/O.
 #pragma once
 
 #include "marldale/gateway/internal.pb.h"
@@ -6,12 +6,12 @@
 
 namespace marldale::controller {
 
-// As old as an update may be on arrival without having been held up: two heartbeats.
-constexpr Micros kUpdateDelayTrusted = 600000;
+/// The longest delay that is not corrected, in microseconds: two heartbeat intervals.
+constexpr Micros kMaxTrustedUpdateDelayUs = 600000;
 
-// The update as of now, after at most `delay` on its way. One that was held up is as much older than it says,
-// so that a silent server doesn't look alive. Its cold time still counts from its arrival: too long is the
-// safe side there.
+/// The update as of now, after at most `delay` in transit. The delay of a late update is added to its age, so
+/// that a silent server does not appear alive. Its cold time still counts from its arrival, because a cold
+/// time that is too long is the safe error.
 [[nodiscard]] gateway::proto::Server agedUpdate(const gateway::proto::Server& update, Micros delay);
 
 }  // namespace marldale::controller
--- a/tests/gateway/controller_departure_test.cpp
+++ b/tests/gateway/controller_departure_test.cpp
@@ -1,5 +1,5 @@
-// A whole controller over loopback, with an edge proxy of the test's own on its inside port: what it promises
-// a server that leaves (incident DRAIN, issue 39).
+// A real controller over loopback with a scripted edge proxy on its inside port. Guards against a departure
+// being acknowledged while an edge proxy still sends requests to the server (incident DRAIN, issue 39).
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -27,7 +27,7 @@
 using transport::Link;
 using transport::steadyNow;
 
-constexpr Micros kMs = 1000, kSecond = 1000000;
+constexpr Micros kMillisecondUs = 1000, kSecond = 1000000;
 constexpr const char* kConfiguration =
     R"({"version":1,"built_on":0,"limits":{"max_header_bytes":16384,"max_body_bytes":1000,"header_wait":"3000ms",)"
     R"("quiet":"15000ms"},"listeners":[{"host_name":"a.example","rules":[{"name":"r","route_kind":"read_only",)"
@@ -47,20 +47,20 @@
     return ntohs(address.sin_port);
 }
 
-// A disk folder that is gone with the test.
-struct Folder {
+// A data directory that is removed at the end of the test.
+struct TemporaryDirectory {
     std::filesystem::path path =
         std::filesystem::temp_directory_path() / ("marldale-departure-" + std::to_string(::getpid()));
-    Folder() {
+    TemporaryDirectory() {
         std::filesystem::remove_all(path);
         std::filesystem::create_directories(path);
     }
-    ~Folder() { std::filesystem::remove_all(path); }
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
+    ~TemporaryDirectory() { std::filesystem::remove_all(path); }
+    TemporaryDirectory(const TemporaryDirectory&) = delete;
+    TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
 };
 
-settings::Settings settingsOf(const Folder& folder) {
+settings::Settings settingsOf(const TemporaryDirectory& directory) {
     settings::Settings out;
     out.node = "c";
     out.ip = "127.0.0.1";
@@ -70,23 +70,23 @@
     out.portFirst = out.portLast = freePort(SOCK_STREAM);
     out.seeds = {out.control};
     out.firstRun = true;
-    out.dataFolder = folder.path.string();
+    out.dataFolder = directory.path.string();
     return out;
 }
 
-// A controller, and an edge proxy that is bound to it and answers its pushes or not.
-class World {
+// A controller, and an edge proxy bound to it that acknowledges its batches or not.
+class Deployment {
 public:
-    World() : settings_(settingsOf(folder_)), controller_(io_, settings_) {
+    Deployment() : settings_(settingsOf(directory_)), controller_(io_, settings_) {
         REQUIRE(controller_.start().ok());
-        REQUIRE(runUntil([this] { return configure(); }));
+        REQUIRE(runUntil([this] { return replaceConfiguration(); }));
         controller_.beat(server(1, false), [](const Reply&) {});
         transport::dial(io_, settings_.inside(), kSecond,
-                        [this](std::shared_ptr<Link> link) { bind(std::move(link)); });
-        REQUIRE(runUntil([this] { return holdsServer_; }));
+                        [this](std::shared_ptr<Link> link) { bindProxy(std::move(link)); });
+        REQUIRE(runUntil([this] { return proxyHoldsServer_; }));
     }
 
-    static proto::Server server(std::uint64_t call, bool emptying) {
+    static proto::Server server(std::uint64_t callCount, bool emptying) {
         proto::Server out;
         out.set_id("i-1");
         out.set_service("catalogue");
@@ -94,24 +94,24 @@
         out.set_zone("z");
         out.set_free_places(4);
         out.set_emptying(emptying);
-        out.set_call_count(call);
+        out.set_call_count(callCount);
         return out;
     }
-    // The server says that it is leaving.
-    void depart() {
-        acknowledged_.reset();
-        controller_.beat(server(2, true), [this](const Reply& reply) { acknowledged_ = reply.status; });
+    // The server reports that it is emptying.
+    void startDeparture() {
+        departureStatus_.reset();
+        controller_.beat(server(2, true), [this](const Reply& reply) { departureStatus_ = reply.status; });
     }
-    // Whether the departure is acknowledged within so long; asked for again after a refusal, as servers do.
+    // Whether the departure is acknowledged in time. Like a server, repeats the report after an error reply.
     bool becomesAcknowledged(Micros within) {
         return runUntil(
             [this] {
-                if (acknowledged_ && acknowledged_ != 200U) depart();
-                return acknowledged_ == 200U;
+                if (departureStatus_ && departureStatus_ != 200U) startDeparture();
+                return departureStatus_ == 200U;
             },
             within);
     }
-    // Whether that came about within so long.
+    // Runs the loop until `done` holds; false if that takes longer than `within`.
     bool runUntil(const std::function<bool()>& done, Micros within = 10 * kSecond) {
         const Micros until = steadyNow() + within;
         while (!done()) {
@@ -122,13 +122,13 @@
     }
     void closeLink() { link_->close(); }
 
-    bool answersMarks = true;
-    [[nodiscard]] bool holdsServer() const { return holdsServer_; }
-    [[nodiscard]] Micros apply() const { return settings_.bounds.apply; }
+    bool proxyAcknowledges = true;
+    [[nodiscard]] bool proxyHoldsServer() const { return proxyHoldsServer_; }
+    [[nodiscard]] Micros applyBound() const { return settings_.bounds.apply; }
     [[nodiscard]] Micros lease() const { return settings::viewLease(settings_.bounds); }
 
 private:
-    bool configure() {
+    bool replaceConfiguration() {
         if (!controller_.inQuorumContact()) return false;
         std::optional<unsigned> status;
         Request request;
@@ -140,10 +140,10 @@
         runUntil([&status] { return status.has_value(); });
         return status == 200U;
     }
-    void bind(std::shared_ptr<Link> link) {
+    void bindProxy(std::shared_ptr<Link> link) {
         REQUIRE(link);
         link_ = std::move(link);
-        link_->start({[this](const proto::Frame& frame) { heard(frame); }, [] {}});
+        link_->start({[this](const proto::Frame& frame) { onFrame(frame); }, [] {}});
         proto::Frame hello;
         hello.mutable_hello()->mutable_self()->set_address("127.0.0.1:2");
         hello.mutable_hello()->mutable_self()->set_zone("z");
@@ -151,54 +151,54 @@
         hello.mutable_hello()->set_mark(1);
         link_->send(hello);
     }
-    void heard(const proto::Frame& frame) {
-        if (!frame.has_batch() || !answersMarks) return;
+    void onFrame(const proto::Frame& frame) {
+        if (!frame.has_batch() || !proxyAcknowledges) return;
         for (const proto::Resource& resource : frame.batch().resources()) {
-            if (resource.has_server()) holdsServer_ = true;
-            if (resource.what_case() == proto::Resource::kServerDrop) holdsServer_ = false;
+            if (resource.has_server()) proxyHoldsServer_ = true;
+            if (resource.what_case() == proto::Resource::kServerDrop) proxyHoldsServer_ = false;
         }
         if (frame.batch().mark() == 0) return;
-        proto::Frame answer;
-        answer.mutable_answer()->set_mark(frame.batch().mark());
-        link_->send(answer);
+        proto::Frame ack;
+        ack.mutable_answer()->set_mark(frame.batch().mark());
+        link_->send(ack);
     }
 
-    Folder folder_;
+    TemporaryDirectory directory_;
     asio::io_context io_{1};
     settings::Settings settings_;
     Controller controller_;
     std::shared_ptr<Link> link_;
-    bool holdsServer_ = false;
-    std::optional<unsigned> acknowledged_;
+    bool proxyHoldsServer_ = false;
+    std::optional<unsigned> departureStatus_;
 };
 
 }  // namespace
 
-TEST_CASE("A departure is acknowledged once the edge proxies have it in force", "[controller_departure]") {
-    World world;
-    world.depart();
-    REQUIRE(world.becomesAcknowledged(10 * kSecond));
-    CHECK_FALSE(world.holdsServer());
+TEST_CASE("A departure is acknowledged once it is in force at the edge proxies", "[controller_departure]") {
+    Deployment deployment;
+    deployment.startDeparture();
+    REQUIRE(deployment.becomesAcknowledged(10 * kSecond));
+    CHECK_FALSE(deployment.proxyHoldsServer());
 }
 
 TEST_CASE("A departure is not acknowledged while an edge proxy may use the server",
           "[controller_departure]") {
-    World world;
-    world.answersMarks = false;
-    world.depart();
-    // Its lease lasts at least as long as contact with its controller may be old.
-    CHECK_FALSE(world.becomesAcknowledged(world.apply() / 2));
-    // Not for ever either: it is told once the proxy's lease has run out.
-    CHECK(world.becomesAcknowledged(10 * kSecond));
+    Deployment deployment;
+    deployment.proxyAcknowledges = false;
+    deployment.startDeparture();
+    // The lease of the proxy lasts at least as long as the allowed age of its contact with the controller.
+    CHECK_FALSE(deployment.becomesAcknowledged(deployment.applyBound() / 2));
+    // It is acknowledged once the lease of the proxy has expired.
+    CHECK(deployment.becomesAcknowledged(10 * kSecond));
 }
 
-TEST_CASE("A departure does not wait for an edge proxy that has gone", "[controller_departure]") {
-    World world;
-    world.answersMarks = false;
-    world.closeLink();
-    world.depart();
-    // Sooner than its lease runs out.
-    CHECK(world.becomesAcknowledged(world.lease()));
+TEST_CASE("A departure does not wait for an edge proxy that has disconnected", "[controller_departure]") {
+    Deployment deployment;
+    deployment.proxyAcknowledges = false;
+    deployment.closeLink();
+    deployment.startDeparture();
+    // The departure is acknowledged before the lease of the proxy expires.
+    CHECK(deployment.becomesAcknowledged(deployment.lease()));
 }
 
 }  // namespace marldale::controller
--- a/tests/gateway/departures_test.cpp
+++ b/tests/gateway/departures_test.cpp
@@ -1,5 +1,5 @@
-// What makes a server's departure lasting: a majority of disks, and what a restart begins with (incident
-// DRAIN, issue 36).
+// Departures of servers must be permanent (incident DRAIN, issue 36): they are acknowledged only once a
+// majority of the voters has them on disk, and they are known again after a restart and after a partition.
 #include <catch2/catch.hpp>
 
 #include "gateway/controller/departure_acks.h"
@@ -11,10 +11,10 @@
 namespace proto = gateway::proto;
 namespace {
 
-using Numbers = std::vector<DepartureAcks::Number>;
+using RequestNumbers = std::vector<DepartureAcks::RequestNumber>;
 constexpr Micros kSecond = 1000000;
 
-proto::Server beat(const std::string& id) {
+proto::Server heartbeat(const std::string& id) {
     proto::Server out;
     out.set_id(id);
     out.set_service("a");
@@ -31,22 +31,22 @@
     return out;
 }
 
-// A disk that ends a write when it is told to.
+// A fake disk that completes a write when the test says so.
 struct Disk {
-    DurableCopy::Text text() {
-        return [this] { return present; };
+    DurableCopy::TextSource text() {
+        return [this] { return current; };
     }
     DurableCopy::Writer writer() {
-        return [this](const std::string& text, DurableCopy::Written written) {
+        return [this](const std::string& text, DurableCopy::WriteCallback onWritten) {
             texts.push_back(text);
-            pending = std::move(written);
+            pendingWrite = std::move(onWritten);
         };
     }
-    void end(bool succeeded) { std::exchange(pending, nullptr)(succeeded); }
+    void completeWrite(bool succeeded) { std::exchange(pendingWrite, nullptr)(succeeded); }
 
-    std::string present;  // what a write that begins now writes
+    std::string current;  // the text that the next write gets
     std::vector<std::string> texts;
-    DurableCopy::Written pending;
+    DurableCopy::WriteCallback pendingWrite;
 };
 
 }  // namespace
@@ -55,117 +55,120 @@
     DepartureAcks acks;
     const std::vector<std::string> voters{"a", "b", "c", "d"};
     acks.add(7, kSecond);
-    acks.durableAt(7, "a");
-    acks.durableAt(7, "a");
-    acks.durableAt(7, "b");
-    acks.durableAt(7, "no voter");
-    acks.durableAt(8, "c");
+    acks.markDurable(7, "a");
+    acks.markDurable(7, "a");
+    acks.markDurable(7, "b");
+    acks.markDurable(7, "no voter");
+    acks.markDurable(8, "c");
     CHECK(acks.takeConfirmed(voters, {}).empty());
-    acks.durableAt(7, "d");
-    // In force at all that have proxies, voters or not, whatever their disks do.
+    acks.markDurable(7, "d");
+    // It must be in force at all controllers that have proxies, voters or not, whatever is durable there.
     CHECK(acks.takeConfirmed(voters, {"c", "no voter"}).empty());
-    acks.inForceAt(7, "c");
+    acks.markInForce(7, "c");
     CHECK(acks.takeConfirmed(voters, {"c", "no voter"}).empty());
-    acks.inForceAt(7, "no voter");
+    acks.markInForce(7, "no voter");
     CHECK(acks.takeConfirmed({"c"}, {"c", "no voter"}).empty());
-    CHECK(acks.takeConfirmed(voters, {"c", "no voter"}) == Numbers{7});
+    CHECK(acks.takeConfirmed(voters, {"c", "no voter"}) == RequestNumbers{7});
     CHECK(acks.takeConfirmed(voters, {}).empty());
-    CHECK(acks.takeLate(2 * kSecond).empty());
+    CHECK(acks.takeExpired(2 * kSecond).empty());
 }
 
-TEST_CASE("A departure that no majority confirms in time ends once", "[departures]") {
+TEST_CASE("A departure that no majority confirms in time expires once", "[departures]") {
     DepartureAcks acks;
     acks.add(1, kSecond);
     acks.add(2, 3 * kSecond);
-    CHECK(acks.takeLate(kSecond - 1).empty());
-    CHECK(acks.takeLate(kSecond) == Numbers{1});
-    acks.durableAt(1, "a");
+    CHECK(acks.takeExpired(kSecond - 1).empty());
+    CHECK(acks.takeExpired(kSecond) == RequestNumbers{1});
+    acks.markDurable(1, "a");
     CHECK(acks.takeConfirmed({"a"}, {}).empty());
-    CHECK(acks.takeAll() == Numbers{2});
+    CHECK(acks.takeAll() == RequestNumbers{2});
     CHECK(acks.takeAll().empty());
     CHECK(acks.takeConfirmed({}, {}).empty());
 }
 
-TEST_CASE("Nobody is told of a change before the disk has it", "[departures]") {
+TEST_CASE("Nobody is notified of a change before it is durable", "[departures]") {
     Disk disk;
     DurableCopy copy(disk.writer(), disk.text());
-    std::vector<int> told;
-    copy.whenDurable([&] { told.push_back(0); });
-    CHECK(told == std::vector<int>{0});  // nothing has changed
-    disk.present = "one";
-    copy.change();
-    copy.whenDurable([&] { told.push_back(1); });
-    disk.present = "two";
-    copy.change();
-    copy.whenDurable([&] { told.push_back(2); });
+    std::vector<int> notified;
+    copy.whenDurable([&] { notified.push_back(0); });
+    CHECK(notified == std::vector<int>{0});  // nothing has changed
+    disk.current = "one";
+    copy.markChanged();
+    copy.whenDurable([&] { notified.push_back(1); });
+    disk.current = "two";
+    copy.markChanged();
+    copy.whenDurable([&] { notified.push_back(2); });
     CHECK(disk.texts == std::vector<std::string>{"one"});  // one write at a time
-    CHECK(told.size() == 1);
-    disk.end(true);
-    CHECK(told == std::vector<int>{0, 1});
+    CHECK(notified.size() == 1);
+    disk.completeWrite(true);
+    CHECK(notified == std::vector<int>{0, 1});
     CHECK(disk.texts.back() == "two");
-    disk.end(false);
-    CHECK(told.size() == 2);
+    disk.completeWrite(false);
+    CHECK(notified.size() == 2);
     copy.retry();
     CHECK(disk.texts.size() == 3);
-    copy.retry();  // it is being written
+    copy.retry();  // a write is under way
     CHECK(disk.texts.size() == 3);
-    disk.end(true);
-    CHECK(told == std::vector<int>{0, 1, 2});
-    copy.whenDurable([&] { told.push_back(3); });
-    CHECK(told.back() == 3);
+    disk.completeWrite(true);
+    CHECK(notified == std::vector<int>{0, 1, 2});
+    copy.whenDurable([&] { notified.push_back(3); });
+    CHECK(notified.back() == 3);
 }
 
-TEST_CASE("A restart knows the departures of its disk, whatever older copies say", "[departures]") {
-    registry::Registry before({});
-    before.heard(kSecond, beat("i"));
-    const proto::Server recalled = before.wordOf(before.servers().at("i"), kSecond);
-    before.heard(2 * kSecond, signOff("i"));
-    const auto departures = before.departures(3 * kSecond);
+TEST_CASE("After a restart, departures loaded from disk outweigh older copies of the server",
+          "[departures]") {
+    registry::Registry beforeRestart({});
+    beforeRestart.heard(kSecond, heartbeat("i"));
+    const proto::Server recalled = beforeRestart.wordOf(beforeRestart.servers().at("i"), kSecond);
+    beforeRestart.heard(2 * kSecond, signOff("i"));
+    const auto departures = beforeRestart.departures(3 * kSecond);
     REQUIRE(departures.size() == 1);
     CHECK(departures.front().heard_ago() == kSecond);
 
-    registry::Registry after({});
-    for (const proto::Server& departed : departures) after.heard(0, departed);
-    after.hint(0, recalled, kSecond);
-    after.heard(kSecond, beat("i"));
-    CHECK(after.servers().empty());
-    CHECK(after.departed().count("i") == 1);
+    registry::Registry afterRestart({});
+    for (const proto::Server& departed : departures) afterRestart.heard(0, departed);
+    afterRestart.hint(0, recalled, kSecond);
+    afterRestart.heard(kSecond, heartbeat("i"));
+    CHECK(afterRestart.servers().empty());
+    CHECK(afterRestart.departed().count("i") == 1);
 }
 
-TEST_CASE("Whoever was away when a server signed off hears of it when it is back", "[departures]") {
-    registry::Registry there({}), away({});
-    for (auto* one : {&there, &away}) one->heard(kSecond, beat("i"));
-    there.heard(2 * kSecond, signOff("i"));
-    for (const proto::Server& departed : there.departures(4 * kSecond))
-        CHECK(away.heard(4 * kSecond, departed) == registry::Registry::News::urgent);
-    CHECK(away.servers().empty());
-    // It is remembered for as long as elsewhere, not anew from now on.
-    CHECK(away.departed().at("i") == 2 * kSecond);
-    for (const proto::Server& departed : there.departures(4 * kSecond))
-        CHECK(away.heard(70 * kSecond, departed) == registry::Registry::News::old);
+TEST_CASE("A controller that was disconnected when a server signed off learns of it on reconnecting",
+          "[departures]") {
+    registry::Registry connected({}), disconnected({});
+    for (auto* each : {&connected, &disconnected}) each->heard(kSecond, heartbeat("i"));
+    connected.heard(2 * kSecond, signOff("i"));
+    for (const proto::Server& departed : connected.departures(4 * kSecond))
+        CHECK(disconnected.heard(4 * kSecond, departed) == registry::Registry::News::urgent);
+    CHECK(disconnected.servers().empty());
+    // The departure is kept for as long as at the other controller, not counted from now on.
+    CHECK(disconnected.departed().at("i") == 2 * kSecond);
+    for (const proto::Server& departed : connected.departures(4 * kSecond))
+        CHECK(disconnected.heard(70 * kSecond, departed) == registry::Registry::News::old);
 }
 
-TEST_CASE("A server that the present controller has never named goes once it knows all", "[departures]") {
+TEST_CASE("A server that the current controller has never named is dropped once it knows all servers",
+          "[departures]") {
     upstream::Tables tables;
-    const auto named = [](const std::string& id, bool fresh, bool whole) {
+    const auto batchNaming = [](const std::string& id, bool fresh, bool whole) {
         gateway::proto::ResourceBatch batch;
         batch.set_fresh(fresh);
         batch.set_servers_whole(whole);
         if (id.empty()) return batch;
-        auto* line = batch.add_resources()->mutable_server();
-        line->set_id(id);
-        line->set_service("s");
-        line->set_address("10.0.0.1:" + std::to_string(80 + id.size()));
+        auto* server = batch.add_resources()->mutable_server();
+        server->set_id(id);
+        server->set_service("s");
+        server->set_address("10.0.0.1:" + std::to_string(80 + id.size()));
         return batch;
     };
-    REQUIRE(tables.obey(named("left", true, true), 0));
-    REQUIRE(tables.obey(named("stays!", false, false), 0));
-    REQUIRE(tables.obey(named("", true, false), 0));  // another controller, which has just started
-    REQUIRE(tables.obey(named("stays!", false, false), 0));
+    REQUIRE(tables.obey(batchNaming("left", true, true), 0));
+    REQUIRE(tables.obey(batchNaming("stays!", false, false), 0));
+    REQUIRE(tables.obey(batchNaming("", true, false), 0));  // from another controller, which has just started
+    REQUIRE(tables.obey(batchNaming("stays!", false, false), 0));
     CHECK(tables.servers() == 2);
-    REQUIRE(tables.obey(named("", false, true), 0));
+    REQUIRE(tables.obey(batchNaming("", false, true), 0));
     CHECK(tables.servers() == 1);
-    REQUIRE(tables.obey(named("", false, true), 0));
+    REQUIRE(tables.obey(batchNaming("", false, true), 0));
     CHECK(tables.servers() == 1);
 }
 
--- a/tests/gateway/order_queue_test.cpp
+++ b/tests/gateway/order_queue_test.cpp
@@ -1,4 +1,4 @@
-// Calls that wait for the log, by hand-made events of the log and virtual time.
+// The order queue, tested with a scripted log and virtual time.
 #include <catch2/catch.hpp>
 
 #include "gateway/controller/order_queue.h"
@@ -10,9 +10,9 @@
 
 constexpr Micros kSecond = 1000000;
 
-// A log that does what the test says.
+// A log whose state and events are set by the test.
 struct FakeLog final : ReplicatedLog {
-    bool isLeader = true, takesEntries = true;
+    bool isLeader = true, acceptsEntries = true;
     std::optional<std::string> knownLeader = "10.0.0.1:7000";
     raft::Term currentTerm = 3;
     Micros contactAt = 0;  // -1: never
@@ -26,7 +26,7 @@
         return contactAt < 0 ? -1 : now - contactAt;
     }
     std::optional<raft::Index> propose(Micros, std::string) override {
-        if (!takesEntries) return std::nullopt;
+        if (!acceptsEntries) return std::nullopt;
         return ++last;
     }
     void read(Micros, std::uint64_t ticket) override { tickets.push_back(ticket); }
@@ -35,14 +35,14 @@
 struct Fixture {
     FakeLog log;
     OrderQueue queue{log, {}};
-    // The one reply that is there; fails if there is another number of them.
-    OrderReply only() {
+    // The only pending reply; fails if there is not exactly one.
+    OrderReply onlyReply() {
         const auto replies = queue.takeReplies();
         REQUIRE(replies.size() == 1);
         return replies[0];
     }
-    void onlyUnavailable(UnavailableReason reason) {
-        const OrderReply reply = only();
+    void expectOnlyUnavailable(UnavailableReason reason) {
+        const OrderReply reply = onlyReply();
         CHECK(reply.outcome == OrderOutcome::unavailable);
         CHECK(reply.reason == reason);
     }
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(Fixture, "An order is answered by its committed entry's verdict alone", "[orders]") {
+TEST_CASE_METHOD(Fixture, "An order is answered only by the verdict on its committed entry", "[orders]") {
     const std::vector<std::pair<Verdict, OrderOutcome>> all = {
         {Verdict::taken, OrderOutcome::confirmed},       {Verdict::already, OrderOutcome::confirmed},
         {Verdict::stale, OrderOutcome::rejectedStale},   {Verdict::invalid, OrderOutcome::invalid},
@@ -60,20 +60,21 @@
         queue.submit(0, 7, "order");
         CHECK(queue.takeReplies().empty());
         queue.committed(log.last, log.currentTerm, verdict);
-        const OrderReply reply = only();
+        const OrderReply reply = onlyReply();
         CHECK(reply.id == 7);
         CHECK(reply.outcome == outcome);
     }
     CHECK(queue.pending() == 0);
 }
 
-TEST_CASE_METHOD(Fixture, "Another term's entry at the place leaves an order unclear", "[orders]") {
+TEST_CASE_METHOD(Fixture, "An entry of another term at the order's index leaves the order unavailable",
+                 "[orders]") {
     queue.submit(0, 1, "order");
     queue.committed(log.last, log.currentTerm + 1, Verdict::stale);
-    onlyUnavailable(UnavailableReason::leadershipLost);
+    expectOnlyUnavailable(UnavailableReason::leadershipLost);
 }
 
-TEST_CASE_METHOD(Fixture, "A deposed leader in contact still answers what is committed", "[orders]") {
+TEST_CASE_METHOD(Fixture, "A former leader in contact still answers orders that are committed", "[orders]") {
     queue.submit(0, 1, "order");
     log.isLeader = false;
     log.knownLeader = "10.0.0.2:7000";
@@ -81,32 +82,33 @@
     queue.update(kSecond);
     CHECK(queue.takeReplies().empty());
     queue.committed(log.last, log.currentTerm, Verdict::taken);
-    CHECK(only().outcome == OrderOutcome::confirmed);
+    CHECK(onlyReply().outcome == OrderOutcome::confirmed);
 }
 
-TEST_CASE_METHOD(Fixture, "What isn't committed in time is unclear, never refused", "[orders]") {
+TEST_CASE_METHOD(Fixture, "An order not committed in time is unavailable, never rejected", "[orders]") {
     queue.submit(0, 1, "order");
     log.contactAt = 5 * kSecond;
     queue.update(queue.nextDue() - 1);
     CHECK(queue.takeReplies().empty());
     queue.update(queue.nextDue());
-    onlyUnavailable(UnavailableReason::timedOut);
+    expectOnlyUnavailable(UnavailableReason::timedOut);
 }
 
-TEST_CASE_METHOD(Fixture, "A snapshot over a waiting order's place leaves it unclear", "[orders]") {
+TEST_CASE_METHOD(Fixture, "A snapshot that covers a pending order's index leaves it unavailable",
+                 "[orders]") {
     queue.submit(0, 1, "order");
     queue.submit(0, 2, "order");
     queue.installed(log.last - 1);
-    CHECK(only().id == 1);
+    CHECK(onlyReply().id == 1);
     queue.installed(log.last);
-    onlyUnavailable(UnavailableReason::leadershipLost);
+    expectOnlyUnavailable(UnavailableReason::leadershipLost);
 }
 
-TEST_CASE_METHOD(Fixture, "Cut off for twenty seconds, a former leader confirms and refuses nothing",
+TEST_CASE_METHOD(Fixture, "Cut off for twenty seconds, a former leader confirms and rejects nothing",
                  "[orders]") {
     queue.submit(0, 1, "order");
     queue.read(0, 2);
-    // It steps down by itself; it still remembers who led last.
+    // It steps down by itself and still knows the last leader.
     log.isLeader = false;
     for (Micros now = 2 * kSecond; now < 20 * kSecond; now += kSecond) {
         queue.update(now);
@@ -120,11 +122,11 @@
     }
     log.contactAt = 20 * kSecond;
     queue.submit(20 * kSecond, 5, "order");
-    CHECK(only().outcome == OrderOutcome::redirect);
+    CHECK(onlyReply().outcome == OrderOutcome::redirect);
 }
 
-TEST_CASE_METHOD(Fixture, "A leader that was frozen begins nothing after its thaw", "[orders]") {
-    // The call waited in the socket; no timer has run yet, so it still takes itself for the leader.
+TEST_CASE_METHOD(Fixture, "A leader that was frozen starts no call when it resumes", "[orders]") {
+    // The call waited in the socket, and no timer has run yet, so the member still believes that it leads.
     queue.submit(20 * kSecond, 1, "order");
     queue.read(20 * kSecond, 2);
     CHECK(log.last == 10);
@@ -144,11 +146,10 @@
     queue.update(2 * kSecond + 100);
     CHECK(log.last == 11);
     queue.committed(11, log.currentTerm, Verdict::taken);
-    CHECK(only().outcome == OrderOutcome::confirmed);
+    CHECK(onlyReply().outcome == OrderOutcome::confirmed);
 }
 
-TEST_CASE_METHOD(Fixture, "Without a leader a call waits a while in contact, and is let go then",
-                 "[orders]") {
+TEST_CASE_METHOD(Fixture, "Without a known leader a call waits for a limited time", "[orders]") {
     log.isLeader = false;
     log.knownLeader.reset();
     queue.submit(0, 1, "order");
@@ -156,51 +157,52 @@
     SECTION("a leader is found") {
         log.knownLeader = "10.0.0.2:7000";
         queue.update(1000);
-        const OrderReply reply = only();
+        const OrderReply reply = onlyReply();
         CHECK(reply.outcome == OrderOutcome::redirect);
         CHECK(reply.leader == "10.0.0.2:7000");
     }
     SECTION("none is found") {
         queue.update(queue.nextDue());
-        onlyUnavailable(UnavailableReason::noLeader);
+        expectOnlyUnavailable(UnavailableReason::noLeader);
     }
-    SECTION("this one is elected") {
+    SECTION("this member is elected") {
         log.isLeader = true;
         queue.update(1000);
         CHECK(log.last == 11);
     }
 }
 
-TEST_CASE_METHOD(Fixture, "A read is answered by its own round", "[orders]") {
+TEST_CASE_METHOD(Fixture, "A read is answered by its own ReadIndex round", "[orders]") {
     queue.read(0, 1);
     queue.read(0, 2);
     REQUIRE(log.tickets.size() == 2);
     queue.readEnded({log.tickets[1], true, 10});
-    const OrderReply sure = only();
+    const OrderReply sure = onlyReply();
     CHECK(sure.id == 2);
     CHECK(sure.outcome == OrderOutcome::readConfirmed);
     queue.readEnded({log.tickets[0], false, 0});
-    onlyUnavailable(UnavailableReason::leadershipLost);
+    expectOnlyUnavailable(UnavailableReason::leadershipLost);
     queue.readEnded({log.tickets[0], true, 10});
     CHECK(queue.takeReplies().empty());
 }
 
-TEST_CASE_METHOD(Fixture, "A stop takes no calls, and ends those that wait as unclear", "[orders]") {
+TEST_CASE_METHOD(Fixture, "After a stop no call is accepted, and pending ones end as unavailable",
+                 "[orders]") {
     queue.submit(0, 1, "order");
     queue.stop();
     queue.submit(0, 2, "order");
-    CHECK(only().id == 2);
+    CHECK(onlyReply().id == 2);
     queue.finish();
-    onlyUnavailable(UnavailableReason::stopping);
+    expectOnlyUnavailable(UnavailableReason::stopping);
 }
 
-TEST_CASE_METHOD(Fixture, "A log that takes nothing leaves an order unclear", "[orders]") {
-    log.takesEntries = false;
+TEST_CASE_METHOD(Fixture, "An order that the log does not accept is unavailable", "[orders]") {
+    log.acceptsEntries = false;
     queue.submit(0, 1, "order");
-    onlyUnavailable(UnavailableReason::logRefused);
+    expectOnlyUnavailable(UnavailableReason::logRefused);
 }
 
-TEST_CASE("The planted faults of the queue show", "[orders]") {
+TEST_CASE("Faults injected into the queue are visible in its replies", "[orders]") {
     FakeLog log;
     OrderQueueFaults faults;
     SECTION("an order that is confirmed before it is committed") {
@@ -209,14 +211,14 @@
         queue.submit(0, 1, "order");
         CHECK(queue.takeReplies().at(0).outcome == OrderOutcome::confirmed);
     }
-    SECTION("an unclear order that is refused") {
+    SECTION("an unavailable order that is answered as rejected") {
         faults.rejectsUnavailable = true;
         OrderQueue queue(log, {}, faults);
         queue.submit(0, 1, "order");
         queue.committed(log.last, log.currentTerm + 1, Verdict::taken);
         CHECK(queue.takeReplies().at(0).outcome == OrderOutcome::rejectedStale);
     }
-    SECTION("a read without a round") {
+    SECTION("a read without a ReadIndex round") {
         faults.answersWithoutContact = true;
         OrderQueue queue(log, {}, faults);
         queue.read(20 * kSecond, 1);
--- a/tests/gateway/orders_over_replicas_test.cpp
+++ b/tests/gateway/orders_over_replicas_test.cpp
@@ -1,5 +1,5 @@
-// Orders over three real replicas: the queue, the register and the log together, with links that are cut one
-// way or both, and a leader that changes. Virtual time.
+// The order queue, the configuration store and the log of three real replicas together, with leader changes
+// and links cut in one or both directions. Virtual time.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <map>
@@ -12,8 +12,8 @@
 namespace marldale::controller {
 namespace {
 
-constexpr Micros kSecond = 1000000, kStep = 10000;
-constexpr std::size_t kNodes = 3;
+constexpr Micros kSecond = 1000000, kStepUs = 10000;
+constexpr std::size_t kNodeCount = 3;
 
 std::string orderOf(std::uint64_t version, std::uint64_t builtOn, const std::string& path = "/x/") {
     return configuration::replaceChange(
@@ -34,17 +34,18 @@
 struct Cluster {
     Cluster() {
         raft::Settings settings;
-        for (std::size_t k = 0; k < kNodes; ++k) settings.seeds.push_back(std::to_string(k));
-        for (std::size_t k = 0; k < kNodes; ++k) {
+        for (std::size_t index = 0; index < kNodeCount; ++index)
+            settings.seeds.push_back(std::to_string(index));
+        for (std::size_t index = 0; index < kNodeCount; ++index) {
             raft::Stored stored;
-            stored.self.set_address(std::to_string(k));
-            settings.seed = k + 1;
+            stored.self.set_address(std::to_string(index));
+            settings.seed = index + 1;
             nodes.push_back(std::make_unique<Node>(settings, stored));
         }
         run(3 * kSecond);
     }
-    void takeReady(std::size_t k) {
-        Node& node = *nodes[k];
+    void takeReady(std::size_t index) {
+        Node& node = *nodes[index];
         raft::Ready ready = node.replica.take();
         for (const raft::Write& write : ready.writes) node.replica.persisted(now, write.number);
         if (ready.install) {
@@ -61,31 +62,31 @@
         for (const raft::ReadEnd& end : ready.reads) node.queue.readEnded(end);
         for (const auto& message : ready.messages) {
             const std::size_t to = std::stoul(message.to().address());
-            if (passes(k, to)) nodes[to]->replica.receive(now, message);
+            if (delivers(index, to)) nodes[to]->replica.receive(now, message);
         }
         node.queue.update(now);
         for (OrderReply& reply : node.queue.takeReplies()) replies[reply.id] = std::move(reply);
     }
     void run(Micros span) {
-        for (const Micros end = now + span; now < end; now += kStep) {
+        for (const Micros end = now + span; now < end; now += kStepUs) {
             for (auto& node : nodes) node->replica.tick(now);
-            // What is sent in a step arrives in it, and is answered in it.
+            // Messages arrive and are answered within the step in which they are sent.
             for (int round = 0; round < 6; ++round)
-                for (std::size_t k = 0; k < kNodes; ++k) takeReady(k);
+                for (std::size_t index = 0; index < kNodeCount; ++index) takeReady(index);
         }
     }
-    // The one that leads among those for which `among` holds.
-    [[nodiscard]] std::size_t leader(const std::function<bool(std::size_t)>& among) const {
-        for (std::size_t k = 0; k < kNodes; ++k)
-            if (among(k) && nodes[k]->replica.leads()) return k;
-        FAIL("nobody leads");
+    // The leader among the nodes for which `matches` holds.
+    [[nodiscard]] std::size_t leader(const std::function<bool(std::size_t)>& matches) const {
+        for (std::size_t index = 0; index < kNodeCount; ++index)
+            if (matches(index) && nodes[index]->replica.leads()) return index;
+        FAIL("no node leads");
         return 0;
     }
     [[nodiscard]] std::size_t leader() const {
         return leader([](std::size_t) { return true; });
     }
-    [[nodiscard]] std::size_t leaderBeside(std::size_t other) const {
-        return leader([other](std::size_t k) { return k != other; });
+    [[nodiscard]] std::size_t leaderOtherThan(std::size_t other) const {
+        return leader([other](std::size_t index) { return index != other; });
     }
     void submit(std::size_t at, OrderId id, const std::string& change) {
         nodes[at]->queue.submit(now, id, change);
@@ -99,73 +100,77 @@
     bool snapshots = false;
     std::vector<std::unique_ptr<Node>> nodes;
     std::map<OrderId, OrderReply> replies;
-    std::function<bool(std::size_t, std::size_t)> passes = [](std::size_t, std::size_t) { return true; };
+    std::function<bool(std::size_t, std::size_t)> delivers = [](std::size_t, std::size_t) { return true; };
 };
 
 }  // namespace
 
-TEST_CASE("The same order through a new leader is confirmed, its rival refused", "[orders]") {
+TEST_CASE("The same order through a new leader is confirmed, a conflicting one is rejected", "[orders]") {
     Cluster cluster;
     cluster.snapshots = GENERATE(false, true);
-    const std::size_t old = cluster.leader();
+    const std::size_t oldLeader = cluster.leader();
     SECTION("the first try is in the old leader's log alone") {
-        cluster.passes = [old](std::size_t from, std::size_t to) { return from != old && to != old; };
-        cluster.submit(old, 1, orderOf(1, 0));
+        cluster.delivers = [oldLeader](std::size_t from, std::size_t to) {
+            return from != oldLeader && to != oldLeader;
+        };
+        cluster.submit(oldLeader, 1, orderOf(1, 0));
         cluster.run(4 * kSecond);
         CHECK(cluster.outcome(1) == OrderOutcome::unavailable);
     }
     SECTION("the first try is committed, and its answer is lost") {
-        cluster.submit(old, 1, orderOf(1, 0));
+        cluster.submit(oldLeader, 1, orderOf(1, 0));
         cluster.run(kSecond);
         CHECK(cluster.outcome(1) == OrderOutcome::confirmed);
-        cluster.passes = [old](std::size_t from, std::size_t to) { return from != old && to != old; };
+        cluster.delivers = [oldLeader](std::size_t from, std::size_t to) {
+            return from != oldLeader && to != oldLeader;
+        };
         cluster.run(4 * kSecond);
     }
-    const std::size_t next = cluster.leaderBeside(old);
-    cluster.submit(next, 2, orderOf(1, 0));
-    cluster.submit(next, 3, orderOf(1, 0, "/other/"));
-    cluster.submit(next, 4, orderOf(2, 1));
-    cluster.submit(next, 5, orderOf(1, 0));
+    const std::size_t newLeader = cluster.leaderOtherThan(oldLeader);
+    cluster.submit(newLeader, 2, orderOf(1, 0));
+    cluster.submit(newLeader, 3, orderOf(1, 0, "/other/"));
+    cluster.submit(newLeader, 4, orderOf(2, 1));
+    cluster.submit(newLeader, 5, orderOf(1, 0));
     cluster.run(kSecond);
     CHECK(cluster.outcome(2) == OrderOutcome::confirmed);
     CHECK(cluster.outcome(3) == OrderOutcome::rejectedStale);
     CHECK(cluster.outcome(4) == OrderOutcome::confirmed);
     CHECK(cluster.outcome(5) == OrderOutcome::confirmed);
-    cluster.passes = [](std::size_t, std::size_t) { return true; };
+    cluster.delivers = [](std::size_t, std::size_t) { return true; };
     cluster.run(5 * kSecond);
     for (const auto& node : cluster.nodes) CHECK(node->store.configuration().version == 2);
-    CHECK(cluster.nodes[0]->store.json() == cluster.nodes[old]->store.json());
+    CHECK(cluster.nodes[0]->store.json() == cluster.nodes[oldLeader]->store.json());
 }
 
 TEST_CASE("A leader that is cut off for twenty seconds, one way or both, decides nothing", "[orders]") {
     Cluster cluster;
-    const std::size_t old = cluster.leader();
-    const bool hears = GENERATE(false, true), speaks = GENERATE(false, true);
-    if (hears && speaks) return;
-    CAPTURE(hears, speaks);
-    cluster.submit(old, 1, orderOf(1, 0));
+    const std::size_t oldLeader = cluster.leader();
+    const bool receives = GENERATE(false, true), sends = GENERATE(false, true);
+    if (receives && sends) return;
+    CAPTURE(receives, sends);
+    cluster.submit(oldLeader, 1, orderOf(1, 0));
     cluster.run(kSecond);
     REQUIRE(cluster.outcome(1) == OrderOutcome::confirmed);
-    cluster.passes = [&](std::size_t from, std::size_t to) {
-        return (from != old || speaks) && (to != old || hears);
+    cluster.delivers = [&](std::size_t from, std::size_t to) {
+        return (from != oldLeader || sends) && (to != oldLeader || receives);
     };
     cluster.run(3 * kSecond);
-    const std::size_t next = cluster.leaderBeside(old);
-    cluster.submit(next, 2, orderOf(2, 1));
+    const std::size_t newLeader = cluster.leaderOtherThan(oldLeader);
+    cluster.submit(newLeader, 2, orderOf(2, 1));
     cluster.run(kSecond);
     CHECK(cluster.outcome(2) == OrderOutcome::confirmed);
     for (OrderId id = 100; id < 116; ++id) {
-        if (id % 2 == 0) cluster.submit(old, id, orderOf(2, 1, "/rival/"));
-        if (id % 2 == 1) cluster.nodes[old]->queue.read(cluster.now, id);
+        if (id % 2 == 0) cluster.submit(oldLeader, id, orderOf(2, 1, "/rival/"));
+        if (id % 2 == 1) cluster.nodes[oldLeader]->queue.read(cluster.now, id);
         cluster.run(kSecond);
         const OrderOutcome outcome = cluster.outcome(id);
-        // One that still hears the new leader may name it.
-        CHECK((outcome == OrderOutcome::unavailable || (hears && outcome == OrderOutcome::redirect)));
+        // An old leader that still receives messages may redirect to the new one.
+        CHECK((outcome == OrderOutcome::unavailable || (receives && outcome == OrderOutcome::redirect)));
     }
-    cluster.passes = [](std::size_t, std::size_t) { return true; };
+    cluster.delivers = [](std::size_t, std::size_t) { return true; };
     cluster.run(5 * kSecond);
-    CHECK(cluster.nodes[old]->store.configuration().version == 2);
-    CHECK(cluster.nodes[old]->queue.inContact(cluster.now));
+    CHECK(cluster.nodes[oldLeader]->store.configuration().version == 2);
+    CHECK(cluster.nodes[oldLeader]->queue.inContact(cluster.now));
 }
 
 }  // namespace marldale::controller
--- a/tests/gateway/proxy_shares_test.cpp
+++ b/tests/gateway/proxy_shares_test.cpp
@@ -1,3 +1,4 @@
+// The shares of edge proxies in common limits, the lookup of calls, and the validation of settings files.
 #include <catch2/catch.hpp>
 
 #include "gateway/controller/calls.h"
@@ -6,31 +7,31 @@
 
 namespace marldale::controller {
 
-TEST_CASE("Parts of cold rates and further tries never add up to more than the whole", "[parts]") {
+TEST_CASE("Shares of cold rates and retries never add up to more than the limit", "[proxy_shares]") {
     for (std::size_t proxies = 0; proxies <= 400; ++proxies) {
         for (const double coldPerS : {0.0, 9.4, 19.0, 40.0}) {
-            const ProxyShare parts = proxyShareOf({proxies, 3, 110, coldPerS, 1.5, 5});
-            REQUIRE(static_cast<double>(parts.cold * std::max<std::size_t>(1, proxies)) <=
+            const ProxyShare share = proxyShareOf({proxies, 3, 110, coldPerS, 1.5, 5});
+            REQUIRE(static_cast<double>(share.cold * std::max<std::size_t>(1, proxies)) <=
                     coldPerS * 1.5 + 5);
-            REQUIRE(parts.inFlight >= 1);
+            REQUIRE(share.inFlight >= 1);
         }
-        const BudgetPart part = budgetOf(proxies, 0.2, 58, 10000000);
-        REQUIRE((part.burst + 10 * part.perS) * static_cast<double>(proxies) <= 58);
-        REQUIRE(part.perRequest <= 0.2);
+        const RetryBudgetShare budget = retryBudgetShareOf(proxies, 0.2, 58, 10000000);
+        REQUIRE((budget.burst + 10 * budget.perS) * static_cast<double>(proxies) <= 58);
+        REQUIRE(budget.perRequest <= 0.2);
     }
 }
 
-TEST_CASE("Calls are found by method and path", "[parts]") {
+TEST_CASE("Calls are found by method and path", "[calls]") {
     CHECK(findCall("POST", "/-/Servers.Beat/i-7").argument == "i-7");
     CHECK(findCall("POST", "/-/Servers.Beat/").call == nullptr);
-    CHECK(findCall("GET", "/-/Settings.Read?x=1").call == &kRead);
-    CHECK(findCall("GET", "/-/Settings.Replace").known);
+    CHECK(findCall("GET", "/-/Settings.Read?x=1").call == &kSettingsRead);
+    CHECK(findCall("GET", "/-/Settings.Replace").pathExists);
     CHECK(findCall("GET", "/-/Settings.Replace").call == nullptr);
-    CHECK_FALSE(findCall("GET", "/else").known);
+    CHECK_FALSE(findCall("GET", "/else").pathExists);
 }
 
-TEST_CASE("Settings are checked with their place", "[settings]") {
-    const std::string whole = R"(node_name: "m-1"
+TEST_CASE("Settings files are validated", "[settings]") {
+    const std::string valid = R"(node_name: "m-1"
 ip_address: "10.1.0.37"
 zone: "north"
 zones:
@@ -49,21 +50,21 @@
   retry_ratio: 0.2
   extra_tries: 58
 )";
-    const auto read = settings::parse(whole);
+    const auto read = settings::parse(valid);
     REQUIRE(read.ok());
     CHECK(read->inside() == "10.1.0.37:7540");
     CHECK(read->insideSeeds() == std::vector<std::string>{"10.1.0.37:7540"});
     CHECK(read->bounds.confirm == 4000000);
     CHECK(read->bounds.extraTries == 58);
-    for (const auto& [from, to] :
+    for (const auto& [original, replacement] :
          std::vector<std::pair<std::string, std::string>>{{"first_run: true", "first_run: 3"},
                                                           {"7540", "75400"},
                                                           {"\"4000ms\"", "\"4000\""},
                                                           {"ip_address", "ip"},
                                                           {"10.1.0.37:8544\"\nfirst", "x\"\nfirst"}}) {
-        std::string broken = whole;
-        broken.replace(broken.find(from), from.size(), to);
-        INFO(to);
+        std::string broken = valid;
+        broken.replace(broken.find(original), original.size(), replacement);
+        INFO(replacement);
         CHECK_FALSE(settings::parse(broken).ok());
     }
     CHECK_FALSE(settings::parse("a: [").ok());
--- a/tests/gateway/update_age_test.cpp
+++ b/tests/gateway/update_age_test.cpp
@@ -1,4 +1,4 @@
-// Updates of servers that were held up on their way between controllers.
+// Server updates that were delayed between controllers.
 #include <catch2/catch.hpp>
 
 #include "gateway/controller/update_age.h"
@@ -22,17 +22,17 @@
 
 }  // namespace
 
-TEST_CASE("An update that was held up doesn't bring a silent server back to life", "[updates]") {
+TEST_CASE("A delayed update does not make a silent server appear alive", "[updates]") {
     const Micros now = 100 * kSecond;
     registry::Registry registry({});
     (void)registry.heard(now, agedUpdate(update("1"), 10 * kSecond));
-    (void)registry.heard(now, agedUpdate(update("2"), kUpdateDelayTrusted));
+    (void)registry.heard(now, agedUpdate(update("2"), kMaxTrustedUpdateDelayUs));
     (void)registry.tick(now);
     CHECK(registry.servers().count("1") == 0);
     CHECK(registry.servers().count("2") == 1);
 }
 
-TEST_CASE("A cold time counts from the arrival of an update that was held up", "[updates]") {
+TEST_CASE("The cold time of a delayed update counts from its arrival", "[updates]") {
     const Micros now = 100 * kSecond;
     gateway::proto::Server cold = update("1");
     cold.set_heard_ago(0);
