--- a/bench/standin/peer_network.h
+++ b/bench/standin/peer_network.h
@@ -25,8 +25,8 @@
     void start(const std::string& name, std::uint64_t incarnation) {
         auto& node = nodes[name] =
             std::make_unique<membership::Peers>(name, name, incarnation, rules_, random_());
-        if (name != "n0") node->know("n0", "n0", now);
-        if (name == "n0") node->know("n1", "n1", now);
+        if (name != "n0") node->addSeed("n0", "n0", now);
+        if (name == "n0") node->addSeed("n1", "n1", now);
     }
     void kill(const std::string& name) { nodes.erase(name); }
     void run(Micros span) {
--- a/fuzz/fuzz.cpp
+++ b/fuzz/fuzz.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "attempts/gate.h"
+#include "attempts/circuit_breaker.h"
 #include "attempts/journal.h"
 #include "emulator/scenario.h"
 #include "plugins/guard.h"
@@ -93,10 +93,10 @@
 
 [[maybe_unused]] void journal(std::string_view bytes) {
     const attempts::JournalRead read = attempts::readJournal(bytes);
-    must(read.whole == read.records.size() * attempts::kJournalRecord && read.whole <= bytes.size());
+    must(read.whole == read.records.size() * attempts::kJournalRecordBytes && read.whole <= bytes.size());
     must(read.torn || read.damaged || read.whole == bytes.size());
     attempts::EffectLedger ledger({});
-    (void)attempts::recall(read.records, ledger);
+    (void)attempts::restoreLedger(read.records, ledger);
     must(ledger.counts().open == 0);
 }
 
--- a/src/decisions/attempts/body_quota.cpp
+++ b/src/decisions/attempts/body_quota.cpp
@@ -48,7 +48,7 @@
     return out;
 }
 
-BodyQuota::Grant BodyQuota::more(BodyId id, std::size_t bytes) {
+BodyQuota::Grant BodyQuota::reserve(BodyId id, std::size_t bytes) {
     Grant out;
     const auto at = bodies_.find(id);
     if (at == bodies_.end() || at->second.gone) return out;
@@ -69,7 +69,7 @@
             return out;
         }
         drop(bodies_.at(gives));
-        out.gaveWay.push_back(gives);
+        out.evicted.push_back(gives);
     }
     body.bytes += bytes;
     used_ += bytes;
--- a/src/decisions/attempts/body_quota.h
+++ b/src/decisions/attempts/body_quota.h
@@ -26,11 +26,11 @@
     void open(BodyId id, std::uint64_t client, double worth);
     struct Grant {
         bool granted = false;
-        std::vector<BodyId> gaveWay;  // their bodies are gone now: they are to be dropped
+        std::vector<BodyId> evicted;  // their bodies are gone now: they are to be dropped
     };
     // So many bytes more are to be kept of it, or none at all: then its body is gone, and what was kept is
     // free.
-    [[nodiscard]] Grant more(BodyId id, std::size_t bytes);
+    [[nodiscard]] Grant reserve(BodyId id, std::size_t bytes);
     // Its body is needed no more (its try is final), or was dropped.
     void release(BodyId id);
     // Another size, by reload; bodies give way until they fit.
--- a/src/decisions/attempts/chains.cpp
+++ b/src/decisions/attempts/chains.cpp
@@ -15,7 +15,7 @@
 
 ChainJoiner::ChainJoiner(ChainSettings settings) : settings_(std::move(settings)) {
     if (settings_.byClass.empty()) settings_.byClass.emplace_back();
-    for (const ChainRule& rule : settings_.byClass) longestGap_ = std::max(longestGap_, rule.gapMost);
+    for (const ChainRule& rule : settings_.byClass) longestGap_ = std::max(longestGap_, rule.maxGap);
 }
 
 const ChainRule& ChainJoiner::ruleOf(std::uint32_t classIndex) const {
@@ -25,8 +25,9 @@
 bool ChainJoiner::continues(const Open& open, const Try& seen, bool byId) const {
     const ChainRule& rule = ruleOf(seen.classIndex);
     if (byId) return seen.at - open.end <= settings_.idKept;
-    return open.invites && open.link.number + 1 < rule.triesMost && seen.at >= open.end - settings_.grain &&
-           seen.at - open.end <= rule.gapMost + settings_.grain;
+    return open.invites && open.link.number + 1 < rule.maxTries &&
+           seen.at >= open.end - settings_.timestampResolution &&
+           seen.at - open.end <= rule.maxGap + settings_.timestampResolution;
 }
 
 Link ChainJoiner::join(Table& table, const Key& key, const Try& seen, bool byId) {
@@ -34,7 +35,7 @@
     const bool goesOn = known != table.end() && continues(known->second, seen, byId);
     const Link link =
         goesOn ? Link{known->second.link.chain, known->second.link.number + 1} : Link{++last_, 0};
-    const Open open{link, seen.at + std::max<Micros>(seen.took, 0), seen.at, invitesAnother(seen.answer)};
+    const Open open{link, seen.at + std::max<Micros>(seen.took, 0), seen.at, clientsRetryAfter(seen.answer)};
     if (byId || open.invites) {
         table[key] = open;
         due_.push_back({key, seen.at, byId});
@@ -54,7 +55,7 @@
 
 // What no entry can continue any more, and the oldest where there are too many.
 void ChainJoiner::forget(Micros now) {
-    const Micros kept = std::max(settings_.idKept, longestGap_ + settings_.grain);
+    const Micros kept = std::max(settings_.idKept, longestGap_ + settings_.timestampResolution);
     while (!due_.empty()) {
         const Due& oldest = due_.front();
         Table& table = oldest.id ? byId_ : byTarget_;
--- a/src/decisions/attempts/chains.h
+++ b/src/decisions/attempts/chains.h
@@ -23,8 +23,8 @@
 };
 
 struct ChainRule {
-    Micros gapMost = 10 * 1000000;  // from one try's end to the next one's start
-    unsigned triesMost = 4;
+    Micros maxGap = 10 * 1000000;  // from one try's end to the next one's start
+    unsigned maxTries = 4;
 };
 
 struct Link {
@@ -35,7 +35,8 @@
 
 struct ChainSettings {
     std::vector<ChainRule> byClass;  // the last one stands for all that follow
-    Micros grain = 0;  // of the stamps: a try may seem to start this much before the last one's end
+    Micros timestampResolution =
+        0;  // of the stamps: a try may seem to start this much before the last one's end
     Micros idKept = 600 * 1000000LL;  // how long a request id is remembered
     std::size_t openMost = 1U << 20U;
 };
--- a/src/decisions/attempts/gate.cpp
+++ b/src/decisions/attempts/circuit_breaker.cpp
@@ -1,4 +1,4 @@
-#include "attempts/gate.h"
+#include "attempts/circuit_breaker.h"
 
 #include <algorithm>
 #include <charconv>
@@ -30,7 +30,7 @@
     return std::clamp<Micros>(static_cast<Micros>(timegm(&date)) * kSecond - wallNow, 0, kRetryAfterMost);
 }
 
-void Gate::refused(Micros now, std::optional<Micros> retryAfter) {
+void CircuitBreaker::refused(Micros now, std::optional<Micros> retryAfter) {
     if (retryAfter) {
         shutUntil_ = std::max(shutUntil_, now + *retryAfter);
         onTrial_ = true;
@@ -46,7 +46,7 @@
     onTrial_ = true;
 }
 
-void Gate::answered() {
+void CircuitBreaker::answered() {
     refusals_ = 0;
     onTrial_ = trialOut_ = false;
     shutUntil_ = 0;
--- a/src/decisions/attempts/gate.h
+++ b/src/decisions/attempts/circuit_breaker.h
@@ -15,22 +15,22 @@
 [[nodiscard]] std::optional<Micros> readRetryAfter(std::string_view value, Micros wallNow);
 
 // For one box. While it is shut, nothing is sent there; then one request goes, and its answer decides.
-class Gate {
+class CircuitBreaker {
 public:
     struct Settings {
         unsigned refusalsMost = 5;                       // in a row, before it shuts without being told to
         Micros shutLeast = 100000, shutMost = 10000000;  // doubled with each refusal after that
     };
-    explicit Gate(Settings settings) : settings_(settings) {}
-    Gate() = default;
+    explicit CircuitBreaker(Settings settings) : settings_(settings) {}
+    CircuitBreaker() = default;
 
     // True: a request may go now. A trial that this lets through must be told by `sent`.
-    [[nodiscard]] bool open(Micros now) const { return now >= shutUntil_ && !(onTrial_ && trialOut_); }
+    [[nodiscard]] bool allows(Micros now) const { return now >= shutUntil_ && !(onTrial_ && trialOut_); }
     void sent() { trialOut_ = onTrial_; }
     void refused(Micros now, std::optional<Micros> retryAfter);
     void answered();
     // The trial came to nothing that tells: it may be tried again.
-    void silent() { trialOut_ = false; }
+    void inconclusive() { trialOut_ = false; }
     [[nodiscard]] Micros shutUntil() const { return shutUntil_; }
     [[nodiscard]] unsigned refusals() const { return refusals_; }
 
--- a/src/decisions/attempts/effect_ledger.cpp
+++ b/src/decisions/attempts/effect_ledger.cpp
@@ -2,38 +2,38 @@
 
 namespace marldale::attempts {
 
-const char* name(Word word) {
+const char* name(SendVerdict word) {
     switch (word) {
-        case Word::send: return "sent";
-        case Word::leaveOutOpen: return "its request is out";
-        case Word::leaveOutDone: return "its effect stands";
-        case Word::leaveOutMaybe: return "its effect may stand";
-        case Word::leaveOutUnrecorded: return "the record does not say whether it happened";
-        case Word::leaveOutKin:
+        case SendVerdict::send: return "sent";
+        case SendVerdict::leaveOutOpen: return "its request is out";
+        case SendVerdict::leaveOutDone: return "its effect stands";
+        case SendVerdict::leaveOutUncertain: return "its effect may stand";
+        case SendVerdict::leaveOutUnrecorded: return "the record does not say whether it happened";
+        case SendVerdict::leaveOutPossibleRepeat:
             return "the record does not say whether it happened, nor whether it is the one before";
     }
     return "?";
 }
 
-Word EffectLedger::ask(const Wish& wish) const {
+SendVerdict EffectLedger::decide(const SendRequest& wish) const {
     const auto known = states_.find(wish.intent);
     if (known != states_.end()) {
         switch (known->second) {
-            case State::open: return Word::leaveOutOpen;
-            case State::done: return Word::leaveOutDone;
-            case State::maybe: return Word::leaveOutMaybe;
+            case State::open: return SendVerdict::leaveOutOpen;
+            case State::done: return SendVerdict::leaveOutDone;
+            case State::maybe: return SendVerdict::leaveOutUncertain;
             case State::free: break;
         }
     }
-    if (wish.recorded != Effect::unknown) return Word::send;
-    if (settings_.unknown == Unknown::leaveOut) return Word::leaveOutUnrecorded;
-    if (wish.kin == 0) return Word::send;
+    if (wish.recorded != Effect::unknown) return SendVerdict::send;
+    if (settings_.unknown == UnknownPolicy::leaveOut) return SendVerdict::leaveOutUnrecorded;
+    if (wish.kin == 0) return SendVerdict::send;
     const auto kin = kin_.find(wish.kin);
     const bool near = kin != kin_.end() && wish.at - kin->second <= settings_.kinWithin;
-    return near ? Word::leaveOutKin : Word::send;
+    return near ? SendVerdict::leaveOutPossibleRepeat : SendVerdict::send;
 }
 
-void EffectLedger::begun(const Wish& wish) {
+void EffectLedger::begun(const SendRequest& wish) {
     states_[wish.intent] = State::open;
     if (wish.kin != 0) kin_[wish.kin] = wish.at;
 }
@@ -51,7 +51,7 @@
     }
 }
 
-void EffectLedger::spendOpen() {
+void EffectLedger::markOpenUncertain() {
     for (auto& [intent, state] : states_) {
         if (state == State::open) state = State::maybe;
     }
--- a/src/decisions/attempts/effect_ledger.h
+++ b/src/decisions/attempts/effect_ledger.h
@@ -16,20 +16,21 @@
 
 using Intent = std::uint64_t;
 
-enum class Unknown : std::uint8_t { leaveOut, once };
+enum class UnknownPolicy : std::uint8_t { leaveOut, once };
 
-enum class Word : std::uint8_t {
-    send,                // under a key of this replay's own
-    leaveOutOpen,        // its request is out
-    leaveOutDone,        // its effect stands
-    leaveOutMaybe,       // its effect may stand: a run ended, or an answer did not tell
-    leaveOutUnrecorded,  // the record does not say whether it happened
-    leaveOutKin,  // so, and the same client has asked for the same thing without an id a short while ago
+enum class SendVerdict : std::uint8_t {
+    send,                    // under a key of this replay's own
+    leaveOutOpen,            // its request is out
+    leaveOutDone,            // its effect stands
+    leaveOutUncertain,       // its effect may stand: a run ended, or an answer did not tell
+    leaveOutUnrecorded,      // the record does not say whether it happened
+    leaveOutPossibleRepeat,  // so, and the same client has asked for the same thing without an id a short
+                             // while ago
 };
-[[nodiscard]] const char* name(Word word);
-[[nodiscard]] constexpr bool sends(Word word) { return word == Word::send; }
+[[nodiscard]] const char* name(SendVerdict word);
+[[nodiscard]] constexpr bool sends(SendVerdict word) { return word == SendVerdict::send; }
 
-struct Wish {
+struct SendRequest {
     Intent intent = 0;
     Effect recorded = Effect::unknown;  // of this try
     std::uint64_t kin = 0;              // client and target where there was no request id; 0: there was one
@@ -39,20 +40,20 @@
 class EffectLedger {
 public:
     struct Settings {
-        Unknown unknown = Unknown::leaveOut;
+        UnknownPolicy unknown = UnknownPolicy::leaveOut;
         Micros kinWithin = 600 * 1000000LL;
     };
     explicit EffectLedger(Settings settings) : settings_(settings) {}
 
-    [[nodiscard]] Word ask(const Wish& wish) const;
+    [[nodiscard]] SendVerdict decide(const SendRequest& wish) const;
 
     // The journal holds it; the request may go.
-    void begun(const Wish& wish);
+    void begun(const SendRequest& wish);
     // The live answer. Only `notDone` frees the intent for another try; anything else spends it.
     void ended(Intent intent, Effect live);
 
     // Once a journal has been told in its order: what is begun and not ended may have happened.
-    void spendOpen();
+    void markOpenUncertain();
 
     struct Counts {
         std::uint64_t open = 0, done = 0, maybe = 0, free = 0;
--- a/src/decisions/attempts/journal.cpp
+++ b/src/decisions/attempts/journal.cpp
@@ -26,16 +26,16 @@
 
 // Of all bytes but the checksum's own.
 std::uint32_t checkOf(const char* bytes) {
-    std::array<char, kJournalRecord> copy{};
-    std::memcpy(copy.data(), bytes, kJournalRecord);
+    std::array<char, kJournalRecordBytes> copy{};
+    std::memcpy(copy.data(), bytes, kJournalRecordBytes);
     std::memset(copy.data() + kCheckAt, 0, sizeof(std::uint32_t));
     return XXH32(copy.data(), copy.size(), kMagic);
 }
 
 }  // namespace
 
-std::array<char, kJournalRecord> encode(const JournalRecord& record) {
-    std::array<char, kJournalRecord> out{};
+std::array<char, kJournalRecordBytes> encode(const JournalRecord& record) {
+    std::array<char, kJournalRecordBytes> out{};
     out[0] = static_cast<char>(kMagic);
     out[1] = static_cast<char>(record.kind);
     out[2] = static_cast<char>(record.effect);
@@ -47,7 +47,8 @@
 }
 
 std::optional<JournalRecord> decode(std::string_view bytes) {
-    if (bytes.size() < kJournalRecord || static_cast<unsigned char>(bytes[0]) != kMagic) return std::nullopt;
+    if (bytes.size() < kJournalRecordBytes || static_cast<unsigned char>(bytes[0]) != kMagic)
+        return std::nullopt;
     if (get<std::uint32_t>(bytes.data() + kCheckAt) != checkOf(bytes.data())) return std::nullopt;
     const auto kind = static_cast<unsigned char>(bytes[1]), effect = static_cast<unsigned char>(bytes[2]);
     if (kind < 1 || kind > 5 || effect > static_cast<unsigned char>(Effect::unknown)) return std::nullopt;
@@ -64,17 +65,17 @@
         const auto record = decode(rest);
         if (!record) {
             // A record is written in one piece at the end: only the last one can be torn.
-            out.torn = rest.size() <= kJournalRecord;
+            out.torn = rest.size() <= kJournalRecordBytes;
             out.damaged = !out.torn;
             return out;
         }
         out.records.push_back(*record);
-        out.whole += kJournalRecord;
+        out.whole += kJournalRecordBytes;
     }
     return out;
 }
 
-Resumed recall(const std::vector<JournalRecord>& records, EffectLedger& ledger) {
+Resumed restoreLedger(const std::vector<JournalRecord>& records, EffectLedger& ledger) {
     Resumed out;
     for (const JournalRecord& r : records) {
         switch (r.kind) {
@@ -90,7 +91,7 @@
             case JournalRecord::Kind::finished: out.finished = true; break;
         }
     }
-    ledger.spendOpen();
+    ledger.markOpenUncertain();
     return out;
 }
 
--- a/src/decisions/attempts/journal.h
+++ b/src/decisions/attempts/journal.h
@@ -15,7 +15,7 @@
 struct JournalRecord {
     enum class Kind : std::uint8_t {
         run = 1,       // a run begins: `intent` is the hash of what it replays, `at` its settings' hash
-        begun = 2,     // this intent's request is about to be sent; `kin`, `at`: as in Wish
+        begun = 2,     // this intent's request is about to be sent; `kin`, `at`: as in SendRequest
         ended = 3,     // its answer
         reached = 4,   // everything before entry `intent` is settled: a resumed run begins there
         finished = 5,  // the run came to its end
@@ -27,9 +27,9 @@
     bool operator==(const JournalRecord&) const = default;
 };
 
-inline constexpr std::size_t kJournalRecord = 32;  // bytes
+inline constexpr std::size_t kJournalRecordBytes = 32;  // bytes
 
-[[nodiscard]] std::array<char, kJournalRecord> encode(const JournalRecord& record);
+[[nodiscard]] std::array<char, kJournalRecordBytes> encode(const JournalRecord& record);
 // Nothing if it is no record, or its checksum is wrong.
 [[nodiscard]] std::optional<JournalRecord> decode(std::string_view bytes);
 
@@ -50,6 +50,6 @@
     bool finished = false;
 };
 // Puts a journal into a ledger.
-[[nodiscard]] Resumed recall(const std::vector<JournalRecord>& records, EffectLedger& ledger);
+[[nodiscard]] Resumed restoreLedger(const std::vector<JournalRecord>& records, EffectLedger& ledger);
 
 }  // namespace marldale::attempts
--- a/src/decisions/attempts/outcome.cpp
+++ b/src/decisions/attempts/outcome.cpp
@@ -24,7 +24,7 @@
 const char* name(Ended ended) {
     switch (ended) {
         case Ended::answered: return "answered";
-        case Ended::notTold: return "not told";
+        case Ended::notRecorded: return "not told";
         case Ended::aborted: return "aborted";
         case Ended::timedOut: return "timed out";
         case Ended::cut: return "cut off";
@@ -49,7 +49,7 @@
     return answer.ended == Ended::answered ? ofStatus(answer) : Effect::unknown;
 }
 
-bool invitesAnother(const Answer& answer) {
+bool clientsRetryAfter(const Answer& answer) {
     if (answer.ended != Ended::answered) return true;
     return answer.status >= 500 || answer.status == kRequestTimeout || answer.status == kTooEarly ||
            answer.status == kTooMany || answer.status == kClientWentAway;
--- a/src/decisions/attempts/outcome.h
+++ b/src/decisions/attempts/outcome.h
@@ -9,16 +9,16 @@
 namespace marldale::attempts {
 
 enum class Ended : std::uint8_t {
-    answered,   // the status tells
-    notTold,    // the record has no status
-    aborted,    // the client went away
-    timedOut,   // nobody answered in time
-    cut,        // the connection or the record broke off
-    neverSent,  // proof that no byte of it reached a server: the dial was refused, or it was blocked
+    answered,     // the status tells
+    notRecorded,  // the record has no status
+    aborted,      // the client went away
+    timedOut,     // nobody answered in time
+    cut,          // the connection or the record broke off
+    neverSent,    // proof that no byte of it reached a server: the dial was refused, or it was blocked
 };
 
 struct Answer {
-    Ended ended = Ended::notTold;
+    Ended ended = Ended::notRecorded;
     int status = 0;           // 100 to 599; 0: none
     std::int64_t bytes = -1;  // of the reply's body; -1: not told
     bool operator==(const Answer&) const = default;
@@ -33,6 +33,6 @@
 [[nodiscard]] Effect effectOf(const Answer& answer, bool hasEffect);
 
 // Whether clients ask again after such an answer: no answer, 5xx, 408, 425, 429, 499.
-[[nodiscard]] bool invitesAnother(const Answer& answer);
+[[nodiscard]] bool clientsRetryAfter(const Answer& answer);
 
 }  // namespace marldale::attempts
--- a/src/decisions/attempts/schedule.cpp
+++ b/src/decisions/attempts/schedule.cpp
@@ -6,7 +6,7 @@
 
 namespace marldale::attempts {
 
-double chanceOf(std::uint64_t seed, std::uint64_t of) {
+double uniformDraw(std::uint64_t seed, std::uint64_t of) {
     pcg32 random(seed, of);
     (void)random();  // the first draw of neighbouring streams is alike
     return random() / 4294967296.0;
@@ -27,7 +27,7 @@
 unsigned Schedule::copies(std::uint64_t chain, std::uint32_t classIndex) const {
     const double share = classIndex < settings_.shareByClass.size() ? settings_.shareByClass[classIndex] : 1;
     const double whole = std::floor(share);
-    return static_cast<unsigned>(whole) + (chanceOf(settings_.seed, chain) < share - whole ? 1 : 0);
+    return static_cast<unsigned>(whole) + (uniformDraw(settings_.seed, chain) < share - whole ? 1 : 0);
 }
 
 }  // namespace marldale::attempts
--- a/src/decisions/attempts/schedule.h
+++ b/src/decisions/attempts/schedule.h
@@ -35,6 +35,6 @@
 };
 
 // From 0 to below 1, the same for the same words.
-[[nodiscard]] double chanceOf(std::uint64_t seed, std::uint64_t of);
+[[nodiscard]] double uniformDraw(std::uint64_t seed, std::uint64_t of);
 
 }  // namespace marldale::attempts
--- a/src/decisions/membership/peers.cpp
+++ b/src/decisions/membership/peers.cpp
@@ -38,7 +38,7 @@
 
 double Peers::logOfMembers() const { return std::log2(static_cast<double>(members_.size()) + 2); }
 
-void Peers::know(const std::string& name, const std::string& address, Micros now) {
+void Peers::addSeed(const std::string& name, const std::string& address, Micros now) {
     if (name == self_ || members_.count(name) != 0 || members_.size() >= rules_.membersMost) return;
     // Incarnation 0: it has not been heard yet, and any word of its own counts more.
     members_[name] = {0, PeerState::alive, address, now, 0, false};
@@ -78,7 +78,7 @@
         if (isOver(before) || unheard)
             event(PeerEvent::Kind::joined, name);
         else if (before == PeerState::suspect)
-            event(PeerEvent::Kind::back, name);
+            event(PeerEvent::Kind::recovered, name);
     }
     if (state == PeerState::suspect && before == PeerState::alive) event(PeerEvent::Kind::suspected, name);
     if (state == PeerState::dead && !isOver(before)) event(PeerEvent::Kind::died, name);
@@ -93,7 +93,7 @@
         if (gossip.state == PeerState::alive) {
             // Nobody but us raises our incarnation: somebody else has our name.
             if (gossip.incarnation > incarnation_) {
-                event(PeerEvent::Kind::twoOfOneName, self_);
+                event(PeerEvent::Kind::duplicateName, self_);
                 incarnation_ = gossip.incarnation + 1;
                 selfTold_ = 0;
             }
@@ -235,7 +235,7 @@
             g.address == known->second.address)
             continue;
         known->second.doubled = true;
-        event(PeerEvent::Kind::twoOfOneName, m.from);
+        event(PeerEvent::Kind::duplicateName, m.from);
         return;
     }
 }
--- a/src/decisions/membership/peers.h
+++ b/src/decisions/membership/peers.h
@@ -19,9 +19,9 @@
 namespace marldale::membership {
 
 // How an instance is called, and where it is reached: HOST:PORT.
-struct PeerPlace {
+struct PeerEndpoint {
     std::string name, address;
-    bool operator==(const PeerPlace&) const = default;
+    bool operator==(const PeerEndpoint&) const = default;
 };
 
 enum class PeerState : std::uint8_t { alive, suspect, dead, left };
@@ -56,7 +56,7 @@
 };
 
 struct PeerEvent {
-    enum class Kind : std::uint8_t { joined, suspected, back, died, left, twoOfOneName };
+    enum class Kind : std::uint8_t { joined, suspected, recovered, died, left, duplicateName };
     Kind kind = Kind::joined;
     std::string name;
     bool operator==(const PeerEvent&) const = default;
@@ -70,9 +70,9 @@
           std::uint64_t seed);
 
     // Where this one is reached, if that was not known at once.
-    void reachedAt(const std::string& address) { address_ = address; }
+    void setAddress(const std::string& address) { address_ = address; }
     // Someone to begin with, as settings name it.
-    void know(const std::string& name, const std::string& address, Micros now);
+    void addSeed(const std::string& name, const std::string& address, Micros now);
     [[nodiscard]] std::string addressOf(const std::string& name) const;  // empty: nobody knows
 
     [[nodiscard]] std::vector<PeerMessage> tick(Micros now);
--- a/src/decisions/membership/passport.cpp
+++ b/src/decisions/membership/permissions.cpp
@@ -1,4 +1,4 @@
-#include "membership/passport.h"
+#include "membership/permissions.h"
 
 #include <algorithm>
 #include <charconv>
@@ -24,18 +24,18 @@
 
 }  // namespace
 
-bool Passport::mayReport(std::string_view zone) const { return everything || anyFits(zones, zone); }
+bool Permissions::mayReport(std::string_view zone) const { return everything || anyFits(zones, zone); }
 
-bool Passport::mayReportAs(std::string_view box) const { return everything || anyFits(boxes, box); }
+bool Permissions::mayReportAs(std::string_view box) const { return everything || anyFits(boxes, box); }
 
-bool Passport::mayHold(ProxyId relay, std::string_view zone) const {
+bool Permissions::mayHold(ProxyId relay, std::string_view zone) const {
     if (everything) return true;
     return anyFits(zones, zone) && std::any_of(relays.begin(), relays.end(), [&](const auto& range) {
                return relay >= range.first && relay <= range.second;
            });
 }
 
-std::optional<std::pair<ProxyId, ProxyId>> parseRelays(std::string_view text) {
+std::optional<std::pair<ProxyId, ProxyId>> parseRelayRange(std::string_view text) {
     const auto dash = text.find('-');
     const auto from = number(text.substr(0, dash));
     const auto to = dash == std::string_view::npos ? from : number(text.substr(dash + 1));
@@ -43,7 +43,7 @@
     return std::pair(*from, *to);
 }
 
-const Passport* Passports::find(const std::vector<std::string>& names) const {
+const Permissions* PermissionTable::find(const std::vector<std::string>& names) const {
     for (const std::string& name : names) {
         if (const auto at = known_.find(name); at != known_.end()) return &at->second;
     }
--- a/src/decisions/membership/passport.h
+++ b/src/decisions/membership/permissions.h
@@ -14,7 +14,7 @@
 
 namespace marldale::membership {
 
-struct Passport {
+struct Permissions {
     bool everything = false;
     std::vector<std::string> zones;                   // it may report for, and hold relays of; `*`: all
     std::vector<std::string> boxes;                   // it may report as; a trailing `*` stands for any end
@@ -25,23 +25,23 @@
     [[nodiscard]] bool mayReport(std::string_view zone) const;
     [[nodiscard]] bool mayReportAs(std::string_view box) const;
     [[nodiscard]] bool mayHold(ProxyId relay, std::string_view zone) const;
-    bool operator==(const Passport&) const = default;
+    bool operator==(const Permissions&) const = default;
 };
 
 // `7`, `0-49`; nothing if it is no such range.
-[[nodiscard]] std::optional<std::pair<ProxyId, ProxyId>> parseRelays(std::string_view text);
+[[nodiscard]] std::optional<std::pair<ProxyId, ProxyId>> parseRelayRange(std::string_view text);
 
 // By the names of identities. A certificate may carry several names: the first that is known counts.
-class Passports {
+class PermissionTable {
 public:
-    void add(const std::string& name, Passport passport) { known_[name] = std::move(passport); }
-    [[nodiscard]] const Passport* find(const std::vector<std::string>& names) const;
+    void add(const std::string& name, Permissions passport) { known_[name] = std::move(passport); }
+    [[nodiscard]] const Permissions* find(const std::vector<std::string>& names) const;
     [[nodiscard]] bool empty() const { return known_.empty(); }
-    [[nodiscard]] std::map<std::string, Passport>& all() { return known_; }
-    bool operator==(const Passports&) const = default;
+    [[nodiscard]] std::map<std::string, Permissions>& all() { return known_; }
+    bool operator==(const PermissionTable&) const = default;
 
 private:
-    std::map<std::string, Passport> known_;
+    std::map<std::string, Permissions> known_;
 };
 
 }  // namespace marldale::membership
--- a/src/decisions/membership/proxy_owners.cpp
+++ b/src/decisions/membership/proxy_owners.cpp
@@ -15,78 +15,79 @@
     return at->second.owner;
 }
 
-std::vector<OwnerNews> ProxyOwners::hello(LaneId lane, ProxyId id, const Named& named, Micros now) {
-    std::vector<OwnerNews> out;
+std::vector<OwnershipEvent> ProxyOwners::hello(LaneId lane, ProxyId id, const ProxyAnnouncement& announcement,
+                                               Micros now) {
+    std::vector<OwnershipEvent> out;
     const auto [at, fresh] = proxies_.try_emplace(id);
     Proxy& proxy = at->second;
     for (auto& [other, waiting] : proxy.elsewhere) waiting.later = false;
     if (fresh || proxy.owner == lane) {
         proxy.owner = lane;
-        proxy.named = named;
+        proxy.announcement = announcement;
         if (fresh) proxy.since = now;
-        out.emplace_back(NowJoined{id, lane, named});
+        out.emplace_back(JoinedOnLane{id, lane, announcement});
         return out;
     }
-    proxy.elsewhere[lane] = {named, true};
+    proxy.elsewhere[lane] = {announcement, true};
     if (now - proxy.since >= kMoveLeast) move(id, proxy, lane, now, out);
     return out;
 }
 
-void ProxyOwners::move(ProxyId id, Proxy& proxy, LaneId to, Micros now, std::vector<OwnerNews>& out) {
+void ProxyOwners::move(ProxyId id, Proxy& proxy, LaneId to, Micros now, std::vector<OwnershipEvent>& out) {
     const LaneId from = proxy.owner;
-    const Named named = proxy.elsewhere.at(to).named;
+    const ProxyAnnouncement announcement = proxy.elsewhere.at(to).announcement;
     proxy.elsewhere.erase(to);
     // The platform can't be told, and says who stands only once: should the new lane end, the proxy is still
     // there. A stream is told, and names the proxy again if it is.
     if (from == kPlatformLane) {
-        proxy.elsewhere[from] = {proxy.named, false};
+        proxy.elsewhere[from] = {proxy.announcement, false};
     } else {
         out.emplace_back(Release{id, from});
     }
     proxy.owner = to;
-    proxy.named = named;
+    proxy.announcement = announcement;
     proxy.since = now;
     ++moves_;
-    out.emplace_back(NowJoined{id, to, named});
+    out.emplace_back(JoinedOnLane{id, to, announcement});
 }
 
-void ProxyOwners::leave(Proxies::iterator at, LaneId lane, Micros now, std::vector<OwnerNews>& out) {
+void ProxyOwners::leave(Proxies::iterator at, LaneId lane, Micros now, std::vector<OwnershipEvent>& out) {
     Proxy& proxy = at->second;
     if (proxy.owner != lane) {
         proxy.elsewhere.erase(lane);
         return;
     }
     if (proxy.elsewhere.empty()) {
-        out.emplace_back(NowLeft{at->first});
+        out.emplace_back(LeftAllLanes{at->first});
         proxies_.erase(at);
         return;
     }
     const LaneId to = mover(proxy).value_or(proxy.elsewhere.begin()->first);
-    proxy.named = proxy.elsewhere.at(to).named;
+    proxy.announcement = proxy.elsewhere.at(to).announcement;
     proxy.elsewhere.erase(to);
     proxy.owner = to;
     proxy.since = now;
     ++moves_;
-    out.emplace_back(NowJoined{at->first, to, proxy.named});
+    out.emplace_back(JoinedOnLane{at->first, to, proxy.announcement});
 }
 
-std::vector<OwnerNews> ProxyOwners::bye(LaneId lane, ProxyId proxy, Micros now) {
-    std::vector<OwnerNews> out;
+std::vector<OwnershipEvent> ProxyOwners::bye(LaneId lane, ProxyId proxy, Micros now) {
+    std::vector<OwnershipEvent> out;
     if (const auto at = proxies_.find(proxy); at != proxies_.end()) leave(at, lane, now, out);
     return out;
 }
 
-std::vector<OwnerNews> ProxyOwners::closed(LaneId lane, Micros now) {
-    std::vector<OwnerNews> out;
+std::vector<OwnershipEvent> ProxyOwners::closed(LaneId lane, Micros now) {
+    std::vector<OwnershipEvent> out;
     for (auto at = proxies_.begin(); at != proxies_.end();) leave(at++, lane, now, out);
     return out;
 }
 
-std::vector<OwnerNews> ProxyOwners::answered(LaneId lane, ProxyId proxy, std::uint64_t mark,
-                                             Micros took) const {
+std::vector<OwnershipEvent> ProxyOwners::acknowledged(LaneId lane, ProxyId proxy, std::uint64_t mark,
+                                                      Micros took) const {
     const auto at = proxies_.find(proxy);
     if (at == proxies_.end() || at->second.owner != lane) return {};
-    return {NowAnswered{proxy, lane, mark, took}};
+    return {AcknowledgedOnLane{proxy, lane, mark, took}};
 }
 
 std::optional<LaneId> ProxyOwners::mover(const Proxy& proxy) {
@@ -96,8 +97,8 @@
     return at->first;
 }
 
-std::vector<OwnerNews> ProxyOwners::due(Micros now) {
-    std::vector<OwnerNews> out;
+std::vector<OwnershipEvent> ProxyOwners::due(Micros now) {
+    std::vector<OwnershipEvent> out;
     for (auto& [id, proxy] : proxies_) {
         const auto to = mover(proxy);
         if (to && now - proxy.since >= kMoveLeast) move(id, proxy, *to, now, out);
--- a/src/decisions/membership/proxy_owners.h
+++ b/src/decisions/membership/proxy_owners.h
@@ -1,6 +1,6 @@
-// Which lane a proxy is joined on. It may be named on two at once: over the platform's protocol and over
-// gRPC, or on a dead stream and on the one that it dialled next. One owner at a time; the module hears of one
-// proxy. No I/O.
+// Which lane a proxy is joined on. It may be announcement on two at once: over the platform's protocol and
+// over gRPC, or on a dead stream and on the one that it dialled next. One owner at a time; the module hears
+// of one proxy. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +15,22 @@
 
 using LaneId = std::uint32_t;  // 0: the platform's relay
 
-struct Named {  // what a hello says of a proxy
+struct ProxyAnnouncement {  // what a hello says of a proxy
     ZoneId zone = 0;
     double rate = 0;
     bool fresh = false;
 };
 
 // What follows, in order.
-struct NowJoined {  // on this lane, with none of our tables (whatever it held on another)
+struct JoinedOnLane {  // on this lane, with none of our tables (whatever it held on another)
     ProxyId proxy = 0;
     LaneId lane = 0;
-    Named named;
+    ProxyAnnouncement announcement;
 };
-struct NowLeft {
+struct LeftAllLanes {
     ProxyId proxy = 0;
 };
-struct NowAnswered {
+struct AcknowledgedOnLane {
     ProxyId proxy = 0;
     LaneId lane = 0;
     std::uint64_t mark = 0;
@@ -40,20 +40,21 @@
     ProxyId proxy = 0;
     LaneId lane = 0;
 };
-using OwnerNews = std::variant<NowJoined, NowLeft, NowAnswered, Release>;
+using OwnershipEvent = std::variant<JoinedOnLane, LeftAllLanes, AcknowledgedOnLane, Release>;
 
 class ProxyOwners {
 public:
-    // A proxy that is named on two lanes in turn moves no sooner than this after its last move.
+    // A proxy that is announcement on two lanes in turn moves no sooner than this after its last move.
     static constexpr Micros kMoveLeast = 2000000;
 
-    [[nodiscard]] std::vector<OwnerNews> hello(LaneId lane, ProxyId proxy, const Named& named, Micros now);
-    [[nodiscard]] std::vector<OwnerNews> bye(LaneId lane, ProxyId proxy, Micros now);
-    [[nodiscard]] std::vector<OwnerNews> answered(LaneId lane, ProxyId proxy, std::uint64_t mark,
-                                                  Micros took) const;
-    [[nodiscard]] std::vector<OwnerNews> closed(LaneId lane, Micros now);
+    [[nodiscard]] std::vector<OwnershipEvent> hello(LaneId lane, ProxyId proxy,
+                                                    const ProxyAnnouncement& announcement, Micros now);
+    [[nodiscard]] std::vector<OwnershipEvent> bye(LaneId lane, ProxyId proxy, Micros now);
+    [[nodiscard]] std::vector<OwnershipEvent> acknowledged(LaneId lane, ProxyId proxy, std::uint64_t mark,
+                                                           Micros took) const;
+    [[nodiscard]] std::vector<OwnershipEvent> closed(LaneId lane, Micros now);
     // Moves whose time has come.
-    [[nodiscard]] std::vector<OwnerNews> due(Micros now);
+    [[nodiscard]] std::vector<OwnershipEvent> due(Micros now);
     [[nodiscard]] std::optional<Micros> nextDue() const;
 
     [[nodiscard]] std::optional<LaneId> owner(ProxyId proxy) const;
@@ -62,19 +63,19 @@
 
 private:
     struct Waiting {
-        Named named;
-        bool later = false;  // named after the owner's lane did: it moves there when it may
+        ProxyAnnouncement announcement;
+        bool later = false;  // announcement after the owner's lane did: it moves there when it may
     };
     struct Proxy {
         LaneId owner = 0;
-        Named named;
+        ProxyAnnouncement announcement;
         Micros since = 0;                     // the last move
         std::map<LaneId, Waiting> elsewhere;  // lanes that name it too
     };
     using Proxies = std::map<ProxyId, Proxy>;
 
-    void move(ProxyId id, Proxy& proxy, LaneId to, Micros now, std::vector<OwnerNews>& out);
-    void leave(Proxies::iterator at, LaneId lane, Micros now, std::vector<OwnerNews>& out);
+    void move(ProxyId id, Proxy& proxy, LaneId to, Micros now, std::vector<OwnershipEvent>& out);
+    void leave(Proxies::iterator at, LaneId lane, Micros now, std::vector<OwnershipEvent>& out);
     [[nodiscard]] static std::optional<LaneId> mover(const Proxy& proxy);
 
     Proxies proxies_;
--- a/src/decisions/membership/report_pacer.h
+++ b/src/decisions/membership/report_pacer.h
@@ -23,7 +23,7 @@
     void reported(SourceId source, std::size_t rows, Micros now);
     void ended(SourceId source) { sources_.erase(source); }
     // The planner could not take a report in: for a while all are asked for half as many.
-    void pressed(Micros now) { pressedUntil_ = now + kPressedFor; }
+    void overloaded(Micros now) { pressedUntil_ = now + kPressedFor; }
 
     // What every stream is to be told now. It moves in steps, and not for changes that are small.
     [[nodiscard]] Micros interval(Micros now);
--- a/src/decisions/membership/source_arbiter.cpp
+++ b/src/decisions/membership/source_arbiter.cpp
@@ -26,7 +26,7 @@
     s.ended = false;
 }
 
-void SourceArbiter::spoilt(SourceId source, Micros /*now*/) {
+void SourceArbiter::rowRejected(SourceId source, Micros /*now*/) {
     Source& s = sources_[source];
     s.spoilt = s.spoilt << 1U | std::bitset<32>(1);
 }
--- a/src/decisions/membership/source_arbiter.h
+++ b/src/decisions/membership/source_arbiter.h
@@ -57,7 +57,7 @@
     // The source has spoken, of whatever.
     void heard(SourceId source, Micros now);
     // It has sent a row that can't be used.
-    void spoilt(SourceId source, Micros now);
+    void rowRejected(SourceId source, Micros now);
     // It has ended in order: what it holds is free at once.
     void ended(SourceId source);
     // Drops what was not named for long; to be called now and then.
--- a/src/decisions/recovery/memory.cpp
+++ b/src/decisions/recovery/memory.cpp
@@ -12,10 +12,10 @@
     switch (event.kind) {
         case PeerEvent::Kind::joined: return "peer " + event.name + " is there";
         case PeerEvent::Kind::suspected: return "peer " + event.name + " does not answer";
-        case PeerEvent::Kind::back: return "peer " + event.name + " answers again";
+        case PeerEvent::Kind::recovered: return "peer " + event.name + " answers again";
         case PeerEvent::Kind::died: return "peer " + event.name + " is taken for dead";
         case PeerEvent::Kind::left: return "peer " + event.name + " has left";
-        case PeerEvent::Kind::twoOfOneName:
+        case PeerEvent::Kind::duplicateName:
             return "two instances are called " + event.name + ": give each its own name";
     }
     return "?";
@@ -29,16 +29,16 @@
       knowledge_(settings.self, settings.incarnation, settings.knowledge),
       asking_(settings.ask, settings.seed, now),
       peers_(settings.self, "", settings.incarnation, settings.membership, settings.seed) {
-    for (const PeerPlace& peer : settings.peers) {
+    for (const PeerEndpoint& peer : settings.peers) {
         if (peer.name == settings.self) continue;
         asking_.know(peer.name, now);
-        peers_.know(peer.name, peer.address, now);
+        peers_.addSeed(peer.name, peer.address, now);
     }
 }
 
 void Memory::connect(const std::string& address) {
     connected_ = share_;
-    peers_.reachedAt(address);
+    peers_.setAddress(address);
 }
 
 void Memory::listed(std::uint64_t version, const std::map<std::string, Knowledge::Listed>& all, Micros now) {
--- a/src/decisions/recovery/memory.h
+++ b/src/decisions/recovery/memory.h
@@ -14,14 +14,14 @@
 
 namespace marldale::recovery {
 
-using membership::PeerPlace;
+using membership::PeerEndpoint;
 
 struct MemorySettings {
     std::string self;
     bool share = false;  // there are peers: they are asked, and who of them is there is watched
     std::uint64_t incarnation = 0;
     std::uint64_t seed = 0;
-    std::vector<PeerPlace> peers;  // to begin with
+    std::vector<PeerEndpoint> peers;  // to begin with
     KnowledgeRules knowledge;
     AskRules ask;
     membership::PeerRules membership;
@@ -38,7 +38,7 @@
 struct MemoryActions {
     std::vector<Hold> holds;        // to the module, before the sums
     std::vector<RecalledSum> sums;  // to the module
-    std::vector<PeerPlace> ask;     // what they know
+    std::vector<PeerEndpoint> ask;  // what they know
     std::vector<membership::PeerMessage> say;
     std::vector<std::string> lines;  // of the log
     [[nodiscard]] bool empty() const {
--- a/src/gateway/edge_proxy/attempts.cpp
+++ b/src/gateway/edge_proxy/attempts.cpp
@@ -207,7 +207,7 @@
     }
     if (request.server) {
         --request.server->inFlight;
-        request.server->gate.silent();  // a trial of it that is over and told nothing
+        request.server->gate.inconclusive();  // a trial of it that is over and told nothing
         request.server.reset();
         wakeWaitingLater(request.service);
     }
@@ -253,7 +253,7 @@
         // Nothing else is sent there meanwhile. This attempt goes on: its request may have arrived.
         request->peerSuspected = true;
         upstream::Server& server = *request->server;
-        if (server.gate.open(now)) server.gate.refused(now, std::nullopt);
+        if (server.gate.allows(now)) server.gate.refused(now, std::nullopt);
         pools_.closeIdle(request->server);
         if (!termination_.begun() && retryElsewhere(request, now)) return;
     }
--- a/src/gateway/forwarding/retry_rule.cpp
+++ b/src/gateway/forwarding/retry_rule.cpp
@@ -38,14 +38,14 @@
     if (proof != attempts::Proof::notRun) mayHaveRun_ = true;
     if (unreached_ >= kMaxUnreached) return finalStep(now);
 
-    attempts::Question question;
+    attempts::RetryContext question;
     question.proof = proof;
     question.failed = result != AttemptResult::answered;
     question.repeat = repeatable() ? Repeat::retryable : Repeat::fragile;
     question.tries = sends_ < maxTries_ ? 1 : 2;  // of the two that mode 2 allows
     question.mode = 2;
     question.timeLeft = deadline_ - now;
-    if (attempts::again(question) == attempts::Why::again) return NextStep::again;
+    if (attempts::decideRetry(question) == attempts::RetryDecision::retry) return NextStep::again;
     return finalStep(now);
 }
 
--- a/src/gateway/forwarding/retry_rule.h
+++ b/src/gateway/forwarding/retry_rule.h
@@ -2,7 +2,7 @@
 // and what the client is told in the end. No I/O.
 #pragma once
 
-#include "attempts/again.h"
+#include "attempts/retry_decision.h"
 #include "gateway/forwarding/faults.h"
 #include "gateway/upstream/tables.h"
 #include "policy/types.h"
--- a/src/gateway/upstream/tables.cpp
+++ b/src/gateway/upstream/tables.cpp
@@ -14,7 +14,7 @@
 constexpr double kStrandedPart = 0.5;   // of each request's part of a further try, while no planner is heard
 constexpr double kAnyLevel = 1e6;       // a level of this or more binds nothing
 constexpr Micros kLevelBurst = 200000;  // this long's worth of a level may come at once
-constexpr attempts::Gate::Settings kGate{1, 250000, 4000000};
+constexpr attempts::CircuitBreaker::Settings kGate{1, 250000, 4000000};
 
 std::string lower(std::string_view text) {
     std::string made(text);
@@ -372,7 +372,7 @@
     const bool cold = mayBeCold(server, now);
     if (cold && !server.recent.allows(now, kColdSpan)) return true;
     if (server.fullUntil > now) return true;
-    const bool shut = !server.gate.open(now);
+    const bool shut = !server.gate.allows(now);
     (shut ? lastResort_ : cold ? spare_ : tabled ? options_ : beside_).push_back(&candidate);
     return true;
 }
--- a/src/gateway/upstream/tables.h
+++ b/src/gateway/upstream/tables.h
@@ -15,7 +15,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "attempts/gate.h"
+#include "attempts/circuit_breaker.h"
 #include "gateway/upstream/budget.h"
 #include "gateway/upstream/sliding_limit.h"
 #include "gateway/upstream/view_lease.h"
@@ -58,10 +58,10 @@
     Micros coldUntil = 0;
 
     // Of this proxy's own traffic.
-    unsigned inFlight = 0;  // requests that have a connection to it, or wait for one
-    Micros fullUntil = 0;   // it has just said that it is full
-    attempts::Gate gate;    // shut after dials that came to nothing, and after silence
-    SlidingLimit recent;    // sends, as many as a cold second may have
+    unsigned inFlight = 0;          // requests that have a connection to it, or wait for one
+    Micros fullUntil = 0;           // it has just said that it is full
+    attempts::CircuitBreaker gate;  // shut after dials that came to nothing, and after silence
+    SlidingLimit recent;            // sends, as many as a cold second may have
     struct Tally {
         std::uint32_t tries = 0, failed = 0, good = 0;
         Micros goodTime = 0;
--- a/src/lab/replay/plan.cpp
+++ b/src/lab/replay/plan.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using attempts::Effect;
-using attempts::Word;
+using attempts::SendVerdict;
 using bytes::mixed;
 
 constexpr double kBurst = 0.05;  // seconds of the rate that may go at once
@@ -21,14 +21,14 @@
     return mixed(chain + mixed((static_cast<std::uint64_t>(loop) << 32U) + copy + 1));
 }
 
-NotSent whyOf(Word word) {
+NotSent whyOf(SendVerdict word) {
     switch (word) {
-        case Word::leaveOutOpen: return NotSent::open;
-        case Word::leaveOutDone: return NotSent::done;
-        case Word::leaveOutMaybe: return NotSent::maybe;
-        case Word::leaveOutUnrecorded: return NotSent::unrecorded;
-        case Word::leaveOutKin: return NotSent::kin;
-        case Word::send: break;
+        case SendVerdict::leaveOutOpen: return NotSent::open;
+        case SendVerdict::leaveOutDone: return NotSent::done;
+        case SendVerdict::leaveOutUncertain: return NotSent::maybe;
+        case SendVerdict::leaveOutUnrecorded: return NotSent::unrecorded;
+        case SendVerdict::leaveOutPossibleRepeat: return NotSent::kin;
+        case SendVerdict::send: break;
     }
     return NotSent::count_;
 }
@@ -39,11 +39,11 @@
     switch (why) {
         case NotSent::notChosen: return "not chosen by its class's share";
         case NotSent::furtherTry: return "a recorded further try";
-        case NotSent::open: return attempts::name(Word::leaveOutOpen);
-        case NotSent::done: return attempts::name(Word::leaveOutDone);
-        case NotSent::maybe: return attempts::name(Word::leaveOutMaybe);
-        case NotSent::unrecorded: return attempts::name(Word::leaveOutUnrecorded);
-        case NotSent::kin: return attempts::name(Word::leaveOutKin);
+        case NotSent::open: return attempts::name(SendVerdict::leaveOutOpen);
+        case NotSent::done: return attempts::name(SendVerdict::leaveOutDone);
+        case NotSent::maybe: return attempts::name(SendVerdict::leaveOutUncertain);
+        case NotSent::unrecorded: return attempts::name(SendVerdict::leaveOutUnrecorded);
+        case NotSent::kin: return attempts::name(SendVerdict::leaveOutPossibleRepeat);
         case NotSent::boxRefuses: return "its box refuses";
         case NotSent::tooLate: return "it has waited too long";
         case NotSent::noRoom: return "too many wait";
@@ -63,7 +63,7 @@
       window_(settings_.schedule),
       schedule_(settings_.schedule),
       ledger_(settings_.effects),
-      gates_(std::max<std::size_t>(settings_.targets, 1), attempts::Gate(settings_.gate)),
+      gates_(std::max<std::size_t>(settings_.targets, 1), attempts::CircuitBreaker(settings_.gate)),
       budget_(settings_.retryRatio, settings_.retriesKept),
       figures_(classes_.size()) {}
 
@@ -171,13 +171,13 @@
     const Send& send = item.send;
     if (now - send.intended > settings_.waitMost && send.number == 0)
         return leave(item, NotSent::tooLate), false;
-    if (!gates_[send.target].open(now)) return leave(item, NotSent::boxRefuses), false;
+    if (!gates_[send.target].allows(now)) return leave(item, NotSent::boxRefuses), false;
     if (!send.hasEffect) return true;
-    const attempts::Wish wish{send.intent, attempts::effectOf(send.entry.answer, true), send.kin,
-                              send.entry.at};
+    const attempts::SendRequest wish{send.intent, attempts::effectOf(send.entry.answer, true), send.kin,
+                                     send.entry.at};
     // A further try of the plan's own follows proof that the one before was nothing, whatever was recorded.
-    const Word word =
-        ledger_.ask(send.number > 0 ? attempts::Wish{wish.intent, Effect::notDone, 0, wish.at} : wish);
+    const SendVerdict word = ledger_.decide(
+        send.number > 0 ? attempts::SendRequest{wish.intent, Effect::notDone, 0, wish.at} : wish);
     if (!attempts::sends(word)) return leave(item, whyOf(word)), false;
     ledger_.begun(wish);
     return true;
@@ -218,7 +218,7 @@
     const bool served = answer.ended == attempts::Ended::answered && answer.status < 400;
     ++(served ? figures.answered : figures.failed);
     if (send.hasEffect) ledger_.ended(send.intent, attempts::effectOf(answer, true));
-    attempts::Gate& gate = gates_[send.target];
+    attempts::CircuitBreaker& gate = gates_[send.target];
     const bool refused = answer.ended == attempts::Ended::neverSent || answer.status == kRefused ||
                          answer.status == kUnavailable;
     if (refused) {
@@ -226,7 +226,7 @@
     } else if (answer.ended == attempts::Ended::answered) {
         gate.answered();
     } else {
-        gate.silent();
+        gate.inconclusive();
     }
     if (settings_.tries == Tries::first) retryLater(item.send, item.index, answer, retryAfter, now);
     settle(item.index);
@@ -236,7 +236,7 @@
 // left.
 void Plan::retryLater(const Send& send, std::uint64_t index, const attempts::Answer& answer,
                       std::optional<Micros> retryAfter, Micros now) {
-    if (stopped_ || !attempts::invitesAnother(answer) || send.number + 1 >= settings_.triesMost) return;
+    if (stopped_ || !attempts::clientsRetryAfter(answer) || send.number + 1 >= settings_.triesMost) return;
     if (send.hasEffect && attempts::effectOf(answer, true) != Effect::notDone) return;
     if (!budget_.take()) {
         ++figuresOf(send.entry).notSent[static_cast<std::size_t>(NotSent::budget)];
@@ -248,7 +248,7 @@
     item.index = index;
     ++unsettled_[item.index];
     const Micros whole = settings_.backOff << std::min(send.number, 16U);
-    const double chance = attempts::chanceOf(settings_.schedule.seed, send.id);
+    const double chance = attempts::uniformDraw(settings_.schedule.seed, send.id);
     const Micros wait = whole / 2 + std::llround(static_cast<double>(whole / 2) * chance);
     const Micros at = now + std::max(wait, retryAfter.value_or(0));
     // Its latency counts from when it was meant to go.
--- a/src/lab/replay/plan.h
+++ b/src/lab/replay/plan.h
@@ -13,8 +13,8 @@
 #include <optional>
 #include <vector>
 
+#include "attempts/circuit_breaker.h"
 #include "attempts/effect_ledger.h"
-#include "attempts/gate.h"
 #include "attempts/schedule.h"
 #include "trace/format.h"
 
@@ -47,7 +47,7 @@
     attempts::ScheduleSettings schedule;
     Tries tries = Tries::recorded;
     attempts::EffectLedger::Settings effects;
-    attempts::Gate::Settings gate;
+    attempts::CircuitBreaker::Settings gate;
     std::size_t targets = 1;  // boxes; a client stays with one
     double ratePerS = 5000;   // sends
     std::size_t inFlightMost = 512;
@@ -129,7 +129,7 @@
     const attempts::Schedule window_;
     attempts::Schedule schedule_;  // with time beginning at the first entry that is played
     attempts::EffectLedger ledger_;
-    std::vector<attempts::Gate> gates_;
+    std::vector<attempts::CircuitBreaker> gates_;
     attempts::RetryBudget budget_;
     std::vector<ClassFigures> figures_;
 
--- a/src/lab/sources/har_reader.cpp
+++ b/src/lab/sources/har_reader.cpp
@@ -336,10 +336,11 @@
         } else {
             a.ended = says("REFUSED") || says("NAME_NOT_RESOLVED") || says("ADDRESS_UNREACHABLE")
                           ? attempts::Ended::neverSent
-                      : says("TIMED_OUT")                                         ? attempts::Ended::timedOut
-                      : says("ABORTED")                                           ? attempts::Ended::aborted
-                      : says("RESET") || says("CLOSED") || says("EMPTY_RESPONSE") ? attempts::Ended::cut
-                                                                                  : attempts::Ended::notTold;
+                      : says("TIMED_OUT") ? attempts::Ended::timedOut
+                      : says("ABORTED")   ? attempts::Ended::aborted
+                      : says("RESET") || says("CLOSED") || says("EMPTY_RESPONSE")
+                          ? attempts::Ended::cut
+                          : attempts::Ended::notRecorded;
         }
         return {};
     }
--- a/src/lab/sources/import_settings.cpp
+++ b/src/lab/sources/import_settings.cpp
@@ -96,9 +96,9 @@
             ruleOf(rules, of).hasEffect = v.text == "once";
         });
     whole("retry_gap_ms", "ms", 0, 600000, "10000", "the longest wait of a client between two tries",
-          [](ClassRule& rule, std::int64_t ms) { rule.chain.gapMost = ms * 1000; });
+          [](ClassRule& rule, std::int64_t ms) { rule.chain.maxGap = ms * 1000; });
     whole("tries_most", "tries", 1, 100, "4", "that a client makes at most for one wish",
-          [](ClassRule& rule, std::int64_t tries) { rule.chain.triesMost = static_cast<unsigned>(tries); });
+          [](ClassRule& rule, std::int64_t tries) { rule.chain.maxTries = static_cast<unsigned>(tries); });
 }
 
 void addJsonKeys(Schema& schema, JsonFields& json) {
--- a/src/lab/sources/importer.cpp
+++ b/src/lab/sources/importer.cpp
@@ -231,7 +231,7 @@
         attempts::ChainSettings out;
         for (const ClassRule& rule : settings.rules.classes) out.byClass.push_back(rule.chain);
         out.byClass.emplace_back();
-        out.grain = 1000000;  // stamps of whole seconds may be among them
+        out.timestampResolution = 1000000;  // stamps of whole seconds may be among them
         return out;
     }
     const ImportAsk& ask_;
--- a/src/lab/sources/log_format.cpp
+++ b/src/lab/sources/log_format.cpp
@@ -340,7 +340,7 @@
         at = end + part.literal.size();
     }
     if (at < line.size()) return wrongAt(at, "the line goes on behind the format's end");
-    if (record.answer.status == 0) record.answer.ended = attempts::Ended::notTold;
+    if (record.answer.status == 0) record.answer.ended = attempts::Ended::notRecorded;
     return true;
 }
 
--- a/src/lab/sources/readers.cpp
+++ b/src/lab/sources/readers.cpp
@@ -135,7 +135,7 @@
         if (bytes < -1 || bytes > 1e15 || bytes != std::floor(bytes)) return false;
         if (took >= 0) took *= static_cast<double>(fields_.durationUnit);
         if (took < -1 || took > kLongest) return false;
-        record.answer = {status == 0 ? attempts::Ended::notTold : attempts::Ended::answered,
+        record.answer = {status == 0 ? attempts::Ended::notRecorded : attempts::Ended::answered,
                          static_cast<int>(status), static_cast<std::int64_t>(bytes)};
         record.took = took < 0 ? -1 : std::llround(took);
         return true;
--- a/src/lab/trace_program/commands.cpp
+++ b/src/lab/trace_program/commands.cpp
@@ -648,7 +648,8 @@
     readTargets(asked, asked.engine);
     plan.targets = asked.engine.targets.size();
     plan.tries = asked.tries == "first" ? replay::Tries::first : replay::Tries::recorded;
-    plan.effects.unknown = asked.unknown == "once" ? attempts::Unknown::once : attempts::Unknown::leaveOut;
+    plan.effects.unknown =
+        asked.unknown == "once" ? attempts::UnknownPolicy::once : attempts::UnknownPolicy::leaveOut;
     plan.waitMost = static_cast<Micros>(asked.waitS * 1e6);
     asked.engine.answerWithin = static_cast<Micros>(asked.answerS * 1e6);
     asked.engine.durationMost = static_cast<Micros>(asked.durationS * 1e6);
@@ -671,7 +672,7 @@
     std::uint64_t skip = 0;
     if (journal) {
         const std::uint64_t identity = reader->identity(), settings = hashOf(asked);
-        const attempts::Resumed resumed = attempts::recall(journal->records(), playing.ledger());
+        const attempts::Resumed resumed = attempts::restoreLedger(journal->records(), playing.ledger());
         if (resumed.runs > 0 && (resumed.trace != identity || resumed.settings != settings)) {
             throw std::runtime_error(
                 "the journal " + asked.journal +
--- a/src/planner/grpc/peer_links.cpp
+++ b/src/planner/grpc/peer_links.cpp
@@ -110,7 +110,7 @@
     for (const auto& [key, session] : sessions) session->awaitEnd(until);
 }
 
-std::shared_ptr<PeerSession> PeerLinks::session(const membership::PeerPlace& peer) {
+std::shared_ptr<PeerSession> PeerLinks::session(const membership::PeerEndpoint& peer) {
     std::vector<std::shared_ptr<PeerSession>> gone;  // they end outside of the lock
     const std::lock_guard lock(mutex_);
     if (closed_ || peer.address.empty()) return nullptr;
@@ -132,13 +132,13 @@
     return sessions_[key] = std::make_shared<PeerSession>(ear_, peer.name, channel);
 }
 
-void PeerLinks::ask(const membership::PeerPlace& peer) {
+void PeerLinks::ask(const membership::PeerEndpoint& peer) {
     const auto to = session(peer);
     if (!to) return ear_.answered(peer.name, std::nullopt, 0, "there is no way to it");
     to->ask();
 }
 
-void PeerLinks::say(const membership::PeerPlace& peer, const membership::PeerMessage& message) {
+void PeerLinks::say(const membership::PeerEndpoint& peer, const membership::PeerMessage& message) {
     if (const auto to = session(peer)) to->tell(message);
 }
 
--- a/src/planner/grpc/peer_links.h
+++ b/src/planner/grpc/peer_links.h
@@ -22,13 +22,13 @@
     PeerLinks(routing::PeerEar& ear, Credentials credentials);
     ~PeerLinks() override;
 
-    void ask(const membership::PeerPlace& peer) override;
-    void say(const membership::PeerPlace& peer, const membership::PeerMessage& message) override;
+    void ask(const membership::PeerEndpoint& peer) override;
+    void say(const membership::PeerEndpoint& peer, const membership::PeerMessage& message) override;
     void close();  // nothing is answered any more once it returns
 
 private:
     // The session of an address; null if there are too many, or all is over.
-    [[nodiscard]] std::shared_ptr<PeerSession> session(const membership::PeerPlace& peer);
+    [[nodiscard]] std::shared_ptr<PeerSession> session(const membership::PeerEndpoint& peer);
 
     routing::PeerEar& ear_;
     const Credentials credentials_;
--- a/src/planner/grpc/report_stream.cpp
+++ b/src/planner/grpc/report_stream.cpp
@@ -136,7 +136,7 @@
         return resume();
     }
     if (waitingSince_ == 0) waitingSince_ = server_.now();
-    server_.pacer().pressed(server_.now());
+    server_.pacer().overloaded(server_.now());
     pause();
 }
 
--- a/src/planner/grpc/server.cpp
+++ b/src/planner/grpc/server.cpp
@@ -197,9 +197,9 @@
     return lastLane_;
 }
 
-std::optional<membership::Passport> Server::passport(const std::vector<std::string>& names) {
+std::optional<membership::Permissions> Server::passport(const std::vector<std::string>& names) {
     const std::lock_guard lock(passportsMutex_);
-    const membership::Passport* found = passports_.find(names);
+    const membership::Permissions* found = passports_.find(names);
     if (found == nullptr) return std::nullopt;
     return *found;
 }
--- a/src/planner/grpc/server.h
+++ b/src/planner/grpc/server.h
@@ -31,7 +31,7 @@
 struct Guest {
     std::string peer;                // its address, for the log
     std::vector<std::string> names;  // of its certificate
-    membership::Passport passport;
+    membership::Permissions passport;
     ::grpc::Status refused;  // not OK: it may not stay
 };
 
@@ -59,7 +59,7 @@
     // The node's entry; null if there are too many nodes.
     [[nodiscard]] Node* node(const std::string& id);
     [[nodiscard]] Guest guest(const ::grpc::ServerContext& context);
-    [[nodiscard]] std::optional<membership::Passport> passport(const std::vector<std::string>& names);
+    [[nodiscard]] std::optional<membership::Permissions> passport(const std::vector<std::string>& names);
     membership::ReportLedger& ledger() { return ledger_; }
     membership::ReportPacer& pacer() { return pacer_; }
     [[nodiscard]] dispatch::LaneId newLane(AssignStream* stream);
@@ -100,7 +100,7 @@
     const Micros helloWithin_;
     std::optional<KeyRing> ring_;
     std::mutex passportsMutex_;
-    membership::Passports passports_;
+    membership::PermissionTable passports_;
 
     v1::LoadReports::AsyncService reports_;
     v1::Assignments::AsyncService assignments_;
--- a/src/planner/knowledge/keeper.cpp
+++ b/src/planner/knowledge/keeper.cpp
@@ -217,7 +217,7 @@
         }
         for (const std::string& line : todo.lines) host_.log("knowledge", line);
         for (const auto& message : todo.say) say(link, message);
-        for (const PeerPlace& peer : todo.ask) {
+        for (const PeerEndpoint& peer : todo.ask) {
             if (link != nullptr) link->ask(peer);
         }
     }
--- a/src/planner/program/settings.cpp
+++ b/src/planner/program/settings.cpp
@@ -141,7 +141,7 @@
         });
 }
 
-void addIdentities(Schema& schema, membership::Passports& passports) {
+void addIdentities(Schema& schema, membership::PermissionTable& passports) {
     schema.key("identity *", "zones", Type::list)
         .takenLive()
         .means("zones that this identity may report for and hold relays of; `*`: all")
@@ -163,7 +163,7 @@
         .means("relays that it may hold, by number: `7`, `0-49`")
         .to([&passports](const std::string& name, const Value& v) {
             for (const std::string& item : v.items) {
-                const auto range = membership::parseRelays(item);
+                const auto range = membership::parseRelayRange(item);
                 if (!range) throw settings::Refused(item + " is no range of relays, as 7 or 0-49");
                 passports.all()[name].relays.push_back(*range);
             }
--- a/src/planner/proxy/attempt.cpp
+++ b/src/planner/proxy/attempt.cpp
@@ -39,17 +39,17 @@
 
 bool failed(const TryEnd& end) { return end.came != Came::answer || end.status >= 500; }
 
-attempts::Why again(const TryEnd& end, const Wish& wish, unsigned mode) {
+attempts::RetryDecision again(const TryEnd& end, const Wish& wish, unsigned mode) {
     using attempts::Proof;
-    attempts::Question q;
+    attempts::RetryContext q;
     q.proof = provenUnrun(end) ? Proof::notRun : end.came == Came::answer ? Proof::ran : Proof::unknown;
     q.failed = failed(end) || q.proof == Proof::notRun;
     q.repeat = wish.fragile ? Repeat::fragile : Repeat::retryable;
-    q.body = wish.bodyKept ? attempts::Body::arriving : attempts::Body::gone;
+    q.body = wish.bodyKept ? attempts::BodyState::arriving : attempts::BodyState::gone;
     q.tries = wish.tries;
     q.mode = mode;
     q.timeLeft = wish.timeLeft;
-    return attempts::again(q);
+    return attempts::decideRetry(q);
 }
 
 Verdict finalOf(const TryEnd& end) { return told(end); }
--- a/src/planner/proxy/attempt.h
+++ b/src/planner/proxy/attempt.h
@@ -10,7 +10,7 @@
 #include <cstdint>
 #include <string_view>
 
-#include "attempts/again.h"
+#include "attempts/retry_decision.h"
 #include "policy/types.h"
 #include "proxy/head.h"
 
@@ -48,9 +48,9 @@
     bool operator==(const Verdict&) const = default;
 };
 
-// After a try, as the one function says that all of us ask (attempts/again.h). `mode`: as ordered. Budgets
-// come after it, and what is final where they refuse is `finalOf`.
-[[nodiscard]] attempts::Why again(const TryEnd& end, const Wish& wish, unsigned mode);
+// After a try, as the one function says that all of us ask (attempts/retry_decision.h). `mode`: as ordered.
+// Budgets come after it, and what is final where they refuse is `finalOf`.
+[[nodiscard]] attempts::RetryDecision again(const TryEnd& end, const Wish& wish, unsigned mode);
 [[nodiscard]] Verdict finalOf(const TryEnd& end);
 // Before any: nothing to pick, or turned away by the level.
 [[nodiscard]] Verdict nothingToPick(bool hasTables);
--- a/src/planner/proxy/gateway.cpp
+++ b/src/planner/proxy/gateway.cpp
@@ -173,8 +173,8 @@
 
     void keep(std::string_view piece) {
         if (!keptWhole_) return;
-        const auto grant = gateway_.quota_.more(bodyId_, piece.size());
-        for (const attempts::BodyId id : grant.gaveWay) gateway_.gaveWay(id);
+        const auto grant = gateway_.quota_.reserve(bodyId_, piece.size());
+        for (const attempts::BodyId id : grant.evicted) gateway_.gaveWay(id);
         if (grant.granted) kept_.append(piece);
         if (!grant.granted) bodyGone();
     }
@@ -221,7 +221,7 @@
         gateway_.tally_.tried(boxName_, failed(end), now - tryBegan_, now);
         wish_.timeLeft = until_ - now;
         wish_.bodyKept = keptWhole_;
-        if (again(end, wish_, gateway_.steering_.retryMode(klass_)) != attempts::Why::again)
+        if (again(end, wish_, gateway_.steering_.retryMode(klass_)) != attempts::RetryDecision::retry)
             return std::nullopt;
         auto pick = gateway_.steering_.pick(klass_, tried_);
         if (!pick) return std::nullopt;
--- a/src/planner/routing/front.h
+++ b/src/planner/routing/front.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "membership/passport.h"
+#include "membership/permissions.h"
 #include "membership/report_pacer.h"
 #include "routing/inputs.h"
 #include "routing/junction.h"
@@ -25,7 +25,7 @@
     std::string certificate, key, clientsCa;
     std::string
         peersCa;  // who must have signed the certificate of an instance that is dialled; empty: clientsCa
-    membership::Passports passports;
+    membership::PermissionTable passports;
     std::size_t streamsMost = 1200;  // open at once
     std::int64_t keepaliveMs =
         1000;  // between two pings; a peer that does not answer one in that time is gone
--- a/src/planner/routing/junction.cpp
+++ b/src/planner/routing/junction.cpp
@@ -66,7 +66,8 @@
             self.arbiter_.heard(s.source, now);
             for (const BoxLoads& load : s.loads) self.box(load, now);
             for (const protocol::Report& r : s.rows) self.row(s.source, r, now, out);
-            for (std::uint32_t i = 0; i < std::min(s.spoilt, 32U); ++i) self.arbiter_.spoilt(s.source, now);
+            for (std::uint32_t i = 0; i < std::min(s.spoilt, 32U); ++i)
+                self.arbiter_.rowRejected(s.source, now);
         }
         void operator()(const SourceEnded& s) const { self.arbiter_.ended(s.source); }
         void operator()(const LaneOpened& l) const { self.dispatcher_.open(l.lane, l.returning, now); }
@@ -95,22 +96,22 @@
     } else if (const auto* bye = std::get_if<protocol::Bye>(&news)) {
         carryOver(owners_.bye(lane, bye->proxy, now), out);
     } else if (const auto* ack = std::get_if<protocol::Ack>(&news)) {
-        carryOver(owners_.answered(lane, ack->proxy, ack->mark, ack->tookUs), out);
+        carryOver(owners_.acknowledged(lane, ack->proxy, ack->mark, ack->tookUs), out);
     }
 }
 
-void Junction::carryOver(const std::vector<membership::OwnerNews>& news, std::vector<Event>& out) {
-    for (const membership::OwnerNews& n : news) {
-        if (const auto* joined = std::get_if<membership::NowJoined>(&n)) {
+void Junction::carryOver(const std::vector<membership::OwnershipEvent>& news, std::vector<Event>& out) {
+    for (const membership::OwnershipEvent& n : news) {
+        if (const auto* joined = std::get_if<membership::JoinedOnLane>(&n)) {
             dispatcher_.own(joined->proxy, joined->lane);
             joined_[joined->proxy] = *joined;
-            out.emplace_back(
-                ProxyJoined{joined->proxy, joined->named.zone, joined->named.rate, joined->named.fresh});
-        } else if (const auto* left = std::get_if<membership::NowLeft>(&n)) {
+            out.emplace_back(ProxyJoined{joined->proxy, joined->announcement.zone, joined->announcement.rate,
+                                         joined->announcement.fresh});
+        } else if (const auto* left = std::get_if<membership::LeftAllLanes>(&n)) {
             dispatcher_.disown(left->proxy);
             joined_.erase(left->proxy);
             out.emplace_back(ProxyLeft{left->proxy});
-        } else if (const auto* answered = std::get_if<membership::NowAnswered>(&n)) {
+        } else if (const auto* answered = std::get_if<membership::AcknowledgedOnLane>(&n)) {
             const auto mark = static_cast<std::uint16_t>(answered->mark);
             for (const std::uint16_t m : dispatcher_.marksOf(answered->lane, mark)) {
                 out.emplace_back(Acknowledged{answered->proxy, m, answered->took});
@@ -123,7 +124,7 @@
 
 void Junction::row(SourceId source, const protocol::Report& report, Micros now, std::vector<Event>& out) {
     std::vector<Event> made;
-    if (!translator_.report(report, made)) return arbiter_.spoilt(source, now);
+    if (!translator_.report(report, made)) return arbiter_.rowRejected(source, now);
     for (const Event& event : made) {
         if (const auto* sums = std::get_if<ServerSums>(&event)) {
             auto taken = arbiter_.admit(source, *sums, now);
@@ -195,7 +196,8 @@
     dispatcher_.startOver();
     for (const auto& [proxy, joined] : joined_) {
         dispatcher_.own(proxy, joined.lane);
-        out.emplace_back(ProxyJoined{proxy, joined.named.zone, joined.named.rate, joined.named.fresh});
+        out.emplace_back(ProxyJoined{proxy, joined.announcement.zone, joined.announcement.rate,
+                                     joined.announcement.fresh});
     }
 }
 
--- a/src/planner/routing/junction.h
+++ b/src/planner/routing/junction.h
@@ -73,7 +73,7 @@
     };
 
     void news(LaneId lane, const protocol::News& news, Micros now, std::vector<Event>& out);
-    void carryOver(const std::vector<membership::OwnerNews>& news, std::vector<Event>& out);
+    void carryOver(const std::vector<membership::OwnershipEvent>& news, std::vector<Event>& out);
     void row(SourceId source, const protocol::Report& report, Micros now, std::vector<Event>& out);
     void box(const BoxLoads& box, Micros now);
     void sweep(Micros now);
@@ -90,7 +90,7 @@
     membership::ProxyOwners owners_;
     dispatch::Dispatcher dispatcher_;
     std::map<ServerId, Load> loads_;
-    std::map<ProxyId, membership::NowJoined> joined_;
+    std::map<ProxyId, membership::JoinedOnLane> joined_;
     std::vector<FrontCommand> commands_;
     Micros nextSweep_ = 0;
     Micros now_ = 0;
--- a/src/planner/routing/keeper.h
+++ b/src/planner/routing/keeper.h
@@ -19,7 +19,7 @@
     Micros every = 10 * 1000000LL, ageMost = 600 * 1000000LL;
     bool share = false;   // peers may ask, and are asked
     std::string address;  // where peers reach this instance; empty: where its front listens
-    std::vector<membership::PeerPlace> peers;
+    std::vector<membership::PeerEndpoint> peers;
     Micros askFor = 10 * 1000000LL;  // from the start
     Micros holdMost = 60 * 1000000LL;
     bool operator==(const KeeperSettings&) const = default;
--- a/src/planner/routing/peer_link.h
+++ b/src/planner/routing/peer_link.h
@@ -36,8 +36,8 @@
     PeerLink(const PeerLink&) = delete;
     PeerLink& operator=(const PeerLink&) = delete;
 
-    virtual void ask(const membership::PeerPlace& peer) = 0;
-    virtual void say(const membership::PeerPlace& peer, const membership::PeerMessage& message) = 0;
+    virtual void ask(const membership::PeerEndpoint& peer) = 0;
+    virtual void say(const membership::PeerEndpoint& peer, const membership::PeerMessage& message) = 0;
 };
 
 }  // namespace marldale::routing
--- a/src/planner/routing/translator.cpp
+++ b/src/planner/routing/translator.cpp
@@ -171,14 +171,14 @@
     return true;
 }
 
-std::optional<membership::Named> Translator::named(const protocol::Hello& hello) const {
+std::optional<membership::ProxyAnnouncement> Translator::named(const protocol::Hello& hello) const {
     const auto zone = zoneOf(hello.zone);
     if (!zone || hello.proxy >= proxies_) {
         log_("news",
              "proxy " + std::to_string(hello.proxy) + " of zone " + hello.zone + " left out: unknown");
         return std::nullopt;
     }
-    return membership::Named{*zone, hello.rate, hello.fresh};
+    return membership::ProxyAnnouncement{*zone, hello.rate, hello.fresh};
 }
 
 void Translator::proxyNews(const protocol::News& news, std::vector<Event>& out) {
--- a/src/planner/routing/translator.h
+++ b/src/planner/routing/translator.h
@@ -30,7 +30,7 @@
     bool report(const protocol::Report& report, std::vector<Event>& out);
 
     // What a hello says, in numbers; nothing, and a line in the log, if its proxy or zone is unknown.
-    [[nodiscard]] std::optional<membership::Named> named(const protocol::Hello& hello) const;
+    [[nodiscard]] std::optional<membership::ProxyAnnouncement> named(const protocol::Hello& hello) const;
     [[nodiscard]] std::optional<ServerId> serverOf(const std::string& uid) const;
     [[nodiscard]] LoadReport loadReport(const protocol::LoadValues& values) const;
 
--- a/tests/attempts/attempts_test.cpp
+++ b/tests/attempts/attempts_test.cpp
@@ -10,8 +10,8 @@
 #include <string>
 
 #include "attempts/chains.h"
+#include "attempts/circuit_breaker.h"
 #include "attempts/effect_ledger.h"
-#include "attempts/gate.h"
 #include "attempts/journal.h"
 #include "attempts/schedule.h"
 
@@ -34,7 +34,7 @@
     EXPECT_EQ(effectOf(status(200, 0), true), Effect::unknown) << "an empty reply tells nothing";
     EXPECT_EQ(effectOf(status(200, -1), true), Effect::done) << "a size that is not told is no empty reply";
     EXPECT_EQ(effectOf(status(204, 0), true), Effect::done);
-    for (const Ended ended : {Ended::notTold, Ended::aborted, Ended::timedOut, Ended::cut}) {
+    for (const Ended ended : {Ended::notRecorded, Ended::aborted, Ended::timedOut, Ended::cut}) {
         EXPECT_EQ(effectOf({ended, 200, 100}, true), Effect::unknown) << name(ended);
     }
     EXPECT_EQ(effectOf({Ended::neverSent, 0, -1}, true), Effect::notDone);
@@ -42,9 +42,10 @@
 }
 
 TEST(Outcome, ClientsAskAgainAfterSilenceAndServersFaults) {
-    for (const int code : {408, 425, 429, 499, 500, 503}) EXPECT_TRUE(invitesAnother(status(code))) << code;
-    for (const int code : {200, 301, 400, 404, 409}) EXPECT_FALSE(invitesAnother(status(code))) << code;
-    EXPECT_TRUE(invitesAnother({Ended::aborted, 0, -1}));
+    for (const int code : {408, 425, 429, 499, 500, 503})
+        EXPECT_TRUE(clientsRetryAfter(status(code))) << code;
+    for (const int code : {200, 301, 400, 404, 409}) EXPECT_FALSE(clientsRetryAfter(status(code))) << code;
+    EXPECT_TRUE(clientsRetryAfter({Ended::aborted, 0, -1}));
 }
 
 // ---- Chains ----
@@ -108,28 +109,29 @@
 
 TEST(Ledger, AnIntentIsSpentByAnythingButProofThatNothingHappened) {
     EffectLedger ledger({});
-    const Wish wish{1, Effect::done, 0, 0};
-    EXPECT_EQ(ledger.ask(wish), Word::send);
+    const SendRequest wish{1, Effect::done, 0, 0};
+    EXPECT_EQ(ledger.decide(wish), SendVerdict::send);
     ledger.begun(wish);
-    EXPECT_EQ(ledger.ask(wish), Word::leaveOutOpen);
+    EXPECT_EQ(ledger.decide(wish), SendVerdict::leaveOutOpen);
     ledger.ended(1, Effect::notDone);
-    EXPECT_EQ(ledger.ask(wish), Word::send);
+    EXPECT_EQ(ledger.decide(wish), SendVerdict::send);
     ledger.begun(wish);
     ledger.ended(1, Effect::unknown);
-    EXPECT_EQ(ledger.ask(wish), Word::leaveOutMaybe);
+    EXPECT_EQ(ledger.decide(wish), SendVerdict::leaveOutUncertain);
     ledger.ended(1, Effect::notDone);
-    EXPECT_EQ(ledger.ask(wish), Word::leaveOutMaybe) << "a late word proves nothing";
+    EXPECT_EQ(ledger.decide(wish), SendVerdict::leaveOutUncertain) << "a late word proves nothing";
 }
 
 TEST(Ledger, WhatWasNotRecordedIsLeftOutOrSentOnceWithoutKin) {
     EffectLedger careful({});
-    EXPECT_EQ(careful.ask({1, Effect::unknown, 0, 0}), Word::leaveOutUnrecorded);
-    EffectLedger once({Unknown::once, 600 * kSecond});
-    EXPECT_EQ(once.ask({1, Effect::unknown, 5, 0}), Word::send);
+    EXPECT_EQ(careful.decide({1, Effect::unknown, 0, 0}), SendVerdict::leaveOutUnrecorded);
+    EffectLedger once({UnknownPolicy::once, 600 * kSecond});
+    EXPECT_EQ(once.decide({1, Effect::unknown, 5, 0}), SendVerdict::send);
     once.begun({1, Effect::unknown, 5, 0});
-    EXPECT_EQ(once.ask({2, Effect::unknown, 5, 300 * kSecond}), Word::leaveOutKin);
-    EXPECT_EQ(once.ask({2, Effect::unknown, 5, 700 * kSecond}), Word::send);
-    EXPECT_EQ(once.ask({2, Effect::unknown, 0, 300 * kSecond}), Word::send) << "it has an id of its own";
+    EXPECT_EQ(once.decide({2, Effect::unknown, 5, 300 * kSecond}), SendVerdict::leaveOutPossibleRepeat);
+    EXPECT_EQ(once.decide({2, Effect::unknown, 5, 700 * kSecond}), SendVerdict::send);
+    EXPECT_EQ(once.decide({2, Effect::unknown, 0, 300 * kSecond}), SendVerdict::send)
+        << "it has an id of its own";
 }
 
 // A box that sometimes runs a request whose answer is lost, and counts what it has run.
@@ -156,13 +158,13 @@
         const JournalRead read = readJournal(disk_);
         EXPECT_FALSE(read.damaged);
         disk_.resize(read.whole);
-        from_ = recall(read.records, ledger_).from;
+        from_ = restoreLedger(read.records, ledger_).from;
     }
     // False: it was killed.
-    bool play(const std::vector<Wish>& wishes) {
+    bool play(const std::vector<SendRequest>& wishes) {
         for (std::size_t i = from_; i < wishes.size(); ++i) {
-            const Wish& w = wishes[i];
-            if (sends(ledger_.ask(w))) {
+            const SendRequest& w = wishes[i];
+            if (sends(ledger_.decide(w))) {
                 ledger_.begun(w);
                 if (!write({JournalRecord::Kind::begun, Effect::none, w.intent, w.kin, w.at})) return false;
                 const Effect live = box_.run(w.intent);
@@ -189,8 +191,8 @@
     std::size_t from_ = 0;
 };
 
-std::vector<Wish> wishes(std::mt19937_64& random, std::size_t count) {
-    std::vector<Wish> out;
+std::vector<SendRequest> wishes(std::mt19937_64& random, std::size_t count) {
+    std::vector<SendRequest> out;
     for (std::size_t i = 0; i < count; ++i) {
         const std::uint64_t intent = 1 + random() % (count / 2 + 1);
         const auto recorded = static_cast<Effect>(1 + random() % 3);
@@ -207,10 +209,10 @@
     for (std::size_t killAt = 0;; ++killAt) {
         std::string disk;
         Box box(5);
-        const bool whole = Replayer(disk, killAt, box, {Unknown::once, 600 * kSecond}).play(all);
+        const bool whole = Replayer(disk, killAt, box, {UnknownPolicy::once, 600 * kSecond}).play(all);
         if (!whole) {
             ++kills;
-            ASSERT_TRUE(Replayer(disk, 1U << 20U, box, {Unknown::once, 600 * kSecond}).play(all));
+            ASSERT_TRUE(Replayer(disk, 1U << 20U, box, {UnknownPolicy::once, 600 * kSecond}).play(all));
         }
         for (const auto& [intent, effects] : box.effects) ASSERT_LE(effects, 1) << "killed at " << killAt;
         const JournalRead read = readJournal(disk);
@@ -224,7 +226,7 @@
 RC_GTEST_PROP(LedgerProperty, NoIntentHasTwoEffectsOverAnyKillsAndResumes, (std::uint32_t seed)) {
     std::mt19937_64 random(seed);
     const auto all = wishes(random, 40);
-    const EffectLedger::Settings settings{random() % 2 == 0 ? Unknown::once : Unknown::leaveOut,
+    const EffectLedger::Settings settings{random() % 2 == 0 ? UnknownPolicy::once : UnknownPolicy::leaveOut,
                                           600 * kSecond};
     Box box(seed + 1);
     std::string disk;
@@ -253,14 +255,15 @@
         const auto bytes = encode({JournalRecord::Kind::begun, Effect::none, i, 0, 0});
         disk.append(bytes.data(), bytes.size());
     }
-    for (std::size_t bit = 0; bit < kJournalRecord * 8; ++bit) {
+    for (std::size_t bit = 0; bit < kJournalRecordBytes * 8; ++bit) {
         std::string bad = disk;
-        bad[kJournalRecord + bit / 8] = static_cast<char>(bad[kJournalRecord + bit / 8] ^ (1 << (bit % 8)));
+        bad[kJournalRecordBytes + bit / 8] =
+            static_cast<char>(bad[kJournalRecordBytes + bit / 8] ^ (1 << (bit % 8)));
         const JournalRead read = readJournal(bad);
         EXPECT_EQ(read.records.size(), 1U) << bit;
         EXPECT_TRUE(read.damaged) << bit;
     }
-    for (std::size_t cut = 1; cut < kJournalRecord; ++cut) {
+    for (std::size_t cut = 1; cut < kJournalRecordBytes; ++cut) {
         const JournalRead read = readJournal(std::string_view(disk).substr(0, disk.size() - cut));
         EXPECT_TRUE(read.torn);
         EXPECT_FALSE(read.damaged);
@@ -283,33 +286,33 @@
 }
 
 TEST(Gate, ABoxThatRefusesIsLeftAloneAndTriedByOneRequest) {
-    Gate gate({3, 100 * kMs, 400 * kMs});
+    CircuitBreaker gate({3, 100 * kMs, 400 * kMs});
     gate.refused(0, std::nullopt);
     gate.refused(0, std::nullopt);
-    EXPECT_TRUE(gate.open(0));
+    EXPECT_TRUE(gate.allows(0));
     gate.refused(0, std::nullopt);
-    EXPECT_FALSE(gate.open(99 * kMs));
-    ASSERT_TRUE(gate.open(100 * kMs));
+    EXPECT_FALSE(gate.allows(99 * kMs));
+    ASSERT_TRUE(gate.allows(100 * kMs));
     gate.sent();
-    EXPECT_FALSE(gate.open(100 * kMs)) << "one trial at a time";
+    EXPECT_FALSE(gate.allows(100 * kMs)) << "one trial at a time";
     gate.refused(100 * kMs, std::nullopt);
-    EXPECT_FALSE(gate.open(299 * kMs));
-    EXPECT_TRUE(gate.open(300 * kMs));
+    EXPECT_FALSE(gate.allows(299 * kMs));
+    EXPECT_TRUE(gate.allows(300 * kMs));
     gate.sent();
     gate.refused(300 * kMs, 2 * kSecond);
-    EXPECT_FALSE(gate.open(2299 * kMs));
-    ASSERT_TRUE(gate.open(2300 * kMs));
+    EXPECT_FALSE(gate.allows(2299 * kMs));
+    ASSERT_TRUE(gate.allows(2300 * kMs));
     gate.sent();
     gate.answered();
-    EXPECT_TRUE(gate.open(2300 * kMs));
+    EXPECT_TRUE(gate.allows(2300 * kMs));
     EXPECT_EQ(gate.refusals(), 0U);
 }
 
 TEST(Gate, AnswersToWhatWentBeforeItWasShutDoNotMakeTheWaitLonger) {
-    Gate gate({3, 100 * kMs, 10 * kSecond});
+    CircuitBreaker gate({3, 100 * kMs, 10 * kSecond});
     for (int i = 0; i < 500; ++i) gate.refused(0, std::nullopt);
     EXPECT_EQ(gate.shutUntil(), 100 * kMs);
-    ASSERT_TRUE(gate.open(100 * kMs));
+    ASSERT_TRUE(gate.allows(100 * kMs));
     gate.sent();
     gate.refused(110 * kMs, std::nullopt);
     EXPECT_EQ(gate.shutUntil(), 310 * kMs);
@@ -317,11 +320,11 @@
 
 RC_GTEST_PROP(GateProperty, NeverMoreThanTheAllowedRefusalsInAnySpan, (std::uint32_t seed)) {
     std::mt19937_64 random(seed);
-    const Gate::Settings settings{5, 100 * kMs, 2 * kSecond};
-    Gate gate(settings);
+    const CircuitBreaker::Settings settings{5, 100 * kMs, 2 * kSecond};
+    CircuitBreaker gate(settings);
     int asked = 0;
     for (Micros now = 0; now < 10 * kSecond; now += static_cast<Micros>(random() % 5000)) {
-        if (!gate.open(now)) continue;
+        if (!gate.allows(now)) continue;
         gate.sent();
         gate.refused(now, std::nullopt);
         ++asked;
--- a/tests/attempts/again_test.cpp
+++ b/tests/attempts/retry_decision_test.cpp
@@ -13,9 +13,9 @@
 #include <tuple>
 #include <vector>
 
-#include "attempts/again.h"
 #include "attempts/body_quota.h"
 #include "attempts/retry_budgets.h"
+#include "attempts/retry_decision.h"
 
 namespace marldale::attempts {
 namespace {
@@ -32,13 +32,15 @@
                 for (const bool key : {false, true}) {
                     for (const Micros since :
                          {Micros{-1}, Micros{0}, 4 * kSecond, 5 * kSecond, 6 * kSecond}) {
-                        for (const Body body : {Body::whole, Body::arriving, Body::gone}) {
+                        for (const BodyState body :
+                             {BodyState::whole, BodyState::arriving, BodyState::gone}) {
                             for (unsigned tries = 1; tries <= 3; ++tries) {
                                 for (unsigned mode = 0; mode <= 3; ++mode) {
                                     for (const Micros left : {Micros{0}, kSecond}) {
-                                        const Question q{proof,   failed, repeat, key,  since, 6 * kSecond,
-                                                         kSecond, body,   tries,  mode, left};
-                                        const bool again = attempts::again(q) == Why::again;
+                                        const RetryContext q{proof, failed,      repeat,  key,
+                                                             since, 6 * kSecond, kSecond, body,
+                                                             tries, mode,        left};
+                                        const bool again = attempts::decideRetry(q) == RetryDecision::retry;
                                         ++all;
                                         yes += again ? 1 : 0;
                                         // Said once more, as a person would.
@@ -49,11 +51,11 @@
                                                                since < 5 * kSecond);
                                         const bool ordered = tries < (mode == 0 ? 1U : mode == 3 ? 3U : 2U);
                                         const bool answered = proof == Proof::ran && !failed;
-                                        EXPECT_EQ(again,
-                                                  !answered &&
-                                                      (wanted || (proof == Proof::unknown && mode >= 2)) &&
-                                                      harmless && ordered && left > 0 && body != Body::gone)
-                                            << name(attempts::again(q));
+                                        EXPECT_EQ(
+                                            again,
+                                            !answered && (wanted || (proof == Proof::unknown && mode >= 2)) &&
+                                                harmless && ordered && left > 0 && body != BodyState::gone)
+                                            << name(attempts::decideRetry(q));
                                     }
                                 }
                             }
@@ -89,13 +91,13 @@
 
 struct Rules {  // what is under test, to be spoilt
     std::function<Proof(End)> proof;
-    std::function<Why(const Question&)> again;
+    std::function<RetryDecision(const RetryContext&)> again;
 };
 Proof proofOf(End end) {
     if (end == End::refused || end == End::saysNotRun) return Proof::notRun;
     return end == End::good || end == End::failedAfterEffect ? Proof::ran : Proof::unknown;
 }
-Rules real() { return {proofOf, again}; }
+Rules real() { return {proofOf, decideRetry}; }
 
 struct Explored {
     std::size_t states = 0;
@@ -171,15 +173,15 @@
     void ended(Request& r, End end) const {
         if (end == End::good || end == End::failedAfterEffect || end == End::breaksAfterEffect) ++r.effects;
         if (end == End::timesOut) ++r.late;
-        Question q;
+        RetryContext q;
         q.proof = rules_.proof(end);
         q.failed = end != End::good;
         q.repeat = repeat_;
-        q.body = r.bodyGone ? Body::gone : Body::arriving;
+        q.body = r.bodyGone ? BodyState::gone : BodyState::arriving;
         q.tries = r.tries;
         q.mode = 3;
         q.timeLeft = kSecond;
-        if (rules_.again(q) == Why::again) return send(r, static_cast<std::uint8_t>(1 - r.box));
+        if (rules_.again(q) == RetryDecision::retry) return send(r, static_cast<std::uint8_t>(1 - r.box));
         r.phase = 2;
         ++r.ends;
     }
@@ -217,19 +219,19 @@
     EXPECT_TRUE(found(times, "a second effect")) << "silence taken for proof";
     failed.proof = [](End e) { return e == End::failedAfterEffect ? Proof::notRun : proofOf(e); };
     EXPECT_TRUE(found(failed, "a second effect")) << "an error taken for proof";
-    body.again = [](Question q) {
-        q.body = Body::whole;
-        return again(q);
+    body.again = [](RetryContext q) {
+        q.body = BodyState::whole;
+        return decideRetry(q);
     };
     EXPECT_TRUE(found(body, "sent without its body"));
-    orders.again = [](Question q) {
+    orders.again = [](RetryContext q) {
         q.tries = 1;
-        return again(q);
+        return decideRetry(q);
     };
     EXPECT_TRUE(found(orders, "more tries than were ordered"));
-    unknown.again = [](Question q) {
+    unknown.again = [](RetryContext q) {
         q.repeat = Repeat::retryable;
-        return again(q);
+        return decideRetry(q);
     };
     EXPECT_TRUE(found(unknown, "a second effect")) << "a class forgotten";
 }
@@ -314,23 +316,23 @@
     BodyQuota quota({100, 60});
     quota.open(1, 7, 1);
     quota.open(2, 7, 1);
-    EXPECT_TRUE(quota.more(1, 60).granted);
-    EXPECT_FALSE(quota.more(1, 1).granted) << "one byte over what one body may have";
+    EXPECT_TRUE(quota.reserve(1, 60).granted);
+    EXPECT_FALSE(quota.reserve(1, 1).granted) << "one byte over what one body may have";
     EXPECT_EQ(quota.used(), 0U) << "and all of it is free at once";
-    EXPECT_FALSE(quota.more(1, 1).granted) << "gone is gone";
+    EXPECT_FALSE(quota.reserve(1, 1).granted) << "gone is gone";
     quota.open(3, 7, 1);
-    EXPECT_TRUE(quota.more(2, 50).granted);
-    EXPECT_TRUE(quota.more(3, 50).granted);
+    EXPECT_TRUE(quota.reserve(2, 50).granted);
+    EXPECT_TRUE(quota.reserve(3, 50).granted);
     quota.open(4, 8, 1);
-    const auto grant = quota.more(4, 40);
+    const auto grant = quota.reserve(4, 40);
     EXPECT_TRUE(grant.granted);
-    EXPECT_EQ(grant.gaveWay.size(), 1U) << "the other client has more than its part";
+    EXPECT_EQ(grant.evicted.size(), 1U) << "the other client has more than its part";
     EXPECT_EQ(quota.used(), 90U);
     quota.open(5, 8, 1);
-    EXPECT_FALSE(quota.more(5, 20).granted) << "over its own part only what is free";
+    EXPECT_FALSE(quota.reserve(5, 20).granted) << "over its own part only what is free";
     quota.open(6, 7, 9);
     quota.release(4);
-    EXPECT_TRUE(quota.more(6, 50).granted);
+    EXPECT_TRUE(quota.reserve(6, 50).granted);
     EXPECT_TRUE(quota.resize(40).size() == 2U && quota.used() == 0U);
 }
 
@@ -362,8 +364,8 @@
             const bool fair =
                 mine + bytes <= quota.fairPart(at->second.client) && at->second.bytes + bytes <= 300;
             const bool was = at->second.gone;
-            const auto grant = quota.more(at->first, bytes);
-            for (const BodyId id : grant.gaveWay) {
+            const auto grant = quota.reserve(at->first, bytes);
+            for (const BodyId id : grant.evicted) {
                 RC_ASSERT(open.count(id) == 1 && id != at->first);
                 open[id].gone = true;
                 open[id].bytes = 0;
--- a/tests/grpc/peers_test.cpp
+++ b/tests/grpc/peers_test.cpp
@@ -52,7 +52,7 @@
     explicit Instance(const std::string& name, std::string copy = "all that I know",
                       const routing::FrontSettings& settings = plainFront())
         : ear(name, std::move(copy)), planner(smallConfig(), settings, &ear) {}
-    [[nodiscard]] membership::PeerPlace place() const { return {ear.name(), planner.address()}; }
+    [[nodiscard]] membership::PeerEndpoint place() const { return {ear.name(), planner.address()}; }
     routing::PeerLink& link() { return *planner.server->peers(); }
     Ear ear;
     GrpcPlanner planner;
@@ -219,7 +219,7 @@
         out.certificate = writeFile(directory + "/" + name + ".pem", pair.certificate);
         out.key = writeFile(directory + "/" + name + ".key", pair.key);
         out.clientsCa = writeFile(directory + "/ca.pem", ca.certificate());
-        membership::Passport peer;
+        membership::Permissions peer;
         peer.peer = true;
         out.passports.add("n1", peer);
         out.passports.add("n2", peer);
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <set>
 
-#include "membership/passport.h"
+#include "membership/permissions.h"
 #include "membership/proxy_owners.h"
 #include "membership/report_ledger.h"
 #include "membership/report_pacer.h"
@@ -99,7 +99,7 @@
 
 TEST_F(ArbiterTest, OneWhoseReportsAreSpoiltLosesTheRow) {
     say(kPlatformSource);
-    for (int i = 0; i < 17; ++i) arbiter.spoilt(kPlatformSource, now);
+    for (int i = 0; i < 17; ++i) arbiter.rowRejected(kPlatformSource, now);
     now += kSecond;
     EXPECT_TRUE(say(kGrpc));
     EXPECT_EQ(arbiter.takeChanges().at(0).why, "its reports are spoilt");
@@ -180,7 +180,7 @@
             s.span = std::min<Micros>(since, 10 * kSecond);
             s.next = now + 2 * kSecond;
             if (!s.sound) {
-                arbiter.spoilt(static_cast<SourceId>(i), now);
+                arbiter.rowRejected(static_cast<SourceId>(i), now);
                 continue;
             }
             const Micros claimed = i != keeper && random() % 5 == 0 ? 3 * s.span : s.span;
@@ -202,13 +202,14 @@
 
 // ---- Proxies and their lanes ----
 
-std::vector<std::string> shown(const std::vector<OwnerNews>& news) {
+std::vector<std::string> shown(const std::vector<OwnershipEvent>& news) {
     std::vector<std::string> out;
-    for (const OwnerNews& n : news) {
-        if (const auto* j = std::get_if<NowJoined>(&n))
+    for (const OwnershipEvent& n : news) {
+        if (const auto* j = std::get_if<JoinedOnLane>(&n))
             out.push_back("join " + std::to_string(j->proxy) + " on " + std::to_string(j->lane));
-        if (const auto* l = std::get_if<NowLeft>(&n)) out.push_back("left " + std::to_string(l->proxy));
-        if (const auto* a = std::get_if<NowAnswered>(&n)) out.push_back("ack " + std::to_string(a->mark));
+        if (const auto* l = std::get_if<LeftAllLanes>(&n)) out.push_back("left " + std::to_string(l->proxy));
+        if (const auto* a = std::get_if<AcknowledgedOnLane>(&n))
+            out.push_back("ack " + std::to_string(a->mark));
         if (const auto* r = std::get_if<Release>(&n)) out.push_back("release on " + std::to_string(r->lane));
     }
     return out;
@@ -221,8 +222,8 @@
     EXPECT_EQ(shown(owners.hello(1, 9, {}, now)), (Lines{"join 9 on 1"}));
     now += 3 * kSecond;
     EXPECT_EQ(shown(owners.hello(2, 9, {}, now)), (Lines{"release on 1", "join 9 on 2"}));
-    EXPECT_EQ(shown(owners.answered(1, 9, 5, 0)), Lines{}) << "answers count from the owner only";
-    EXPECT_EQ(shown(owners.answered(2, 9, 5, 0)), (Lines{"ack 5"}));
+    EXPECT_EQ(shown(owners.acknowledged(1, 9, 5, 0)), Lines{}) << "answers count from the owner only";
+    EXPECT_EQ(shown(owners.acknowledged(2, 9, 5, 0)), (Lines{"ack 5"}));
     EXPECT_EQ(shown(owners.bye(1, 9, now)), Lines{});
     EXPECT_EQ(shown(owners.closed(2, now)), (Lines{"left 9"}));
     EXPECT_EQ(owners.known(), 0U);
@@ -282,18 +283,18 @@
     Micros now = 100 * kSecond;
     std::map<ProxyId, std::set<LaneId>> named;  // by lanes, as they said; a release takes it back
     std::map<ProxyId, LaneId> joined;           // as the module was told
-    const auto hear = [&](const std::vector<OwnerNews>& news) {
-        for (const OwnerNews& n : news) {
-            if (const auto* j = std::get_if<NowJoined>(&n)) {
+    const auto hear = [&](const std::vector<OwnershipEvent>& news) {
+        for (const OwnershipEvent& n : news) {
+            if (const auto* j = std::get_if<JoinedOnLane>(&n)) {
                 RC_ASSERT(named[j->proxy].count(j->lane) == 1U);
                 joined[j->proxy] = j->lane;
-            } else if (const auto* l = std::get_if<NowLeft>(&n)) {
+            } else if (const auto* l = std::get_if<LeftAllLanes>(&n)) {
                 RC_ASSERT(joined.erase(l->proxy) == 1U);
                 RC_ASSERT(named[l->proxy].empty());
             } else if (const auto* r = std::get_if<Release>(&n)) {
                 RC_ASSERT(r->lane != 0U);
                 named[r->proxy].erase(r->lane);
-            } else if (const auto* a = std::get_if<NowAnswered>(&n)) {
+            } else if (const auto* a = std::get_if<AcknowledgedOnLane>(&n)) {
                 RC_ASSERT(joined.count(a->proxy) == 1U && joined[a->proxy] == a->lane);
             }
         }
@@ -319,7 +320,7 @@
                     for (auto& [p, lanes] : named) lanes.erase(lane);
                     hear(owners.closed(lane, now));
                 } else {
-                    hear(owners.answered(lane, proxy, word, 0));
+                    hear(owners.acknowledged(lane, proxy, word, 0));
                 }
         }
         for (const auto& [p, lanes] : named) RC_ASSERT((joined.count(p) == 1U) == !lanes.empty());
@@ -368,7 +369,7 @@
     EXPECT_EQ(pacer.interval(now), 20 * kSecond);
     now += 81 * kSecond;
     EXPECT_EQ(pacer.interval(now), 2 * kSecond) << "they are silent";
-    pacer.pressed(now);
+    pacer.overloaded(now);
     EXPECT_EQ(pacer.interval(now), 4 * kSecond);
     EXPECT_EQ(pacer.interval(now + ReportPacer::kPressedFor), 2 * kSecond);
 }
@@ -381,10 +382,10 @@
 
 // ---- Identities ----
 
-TEST(Passports, SpeakForWhatTheSettingsSayAndNothingElse) {
-    Passports passports;
+TEST(PermissionTable, SpeakForWhatTheSettingsSayAndNothingElse) {
+    PermissionTable passports;
     passports.add("collector", {false, {"regina"}, {"s-1", "t-*"}, {{0, 49}, {60, 60}}});
-    const Passport* p = passports.find({"unknown", "collector"});
+    const Permissions* p = passports.find({"unknown", "collector"});
     ASSERT_NE(p, nullptr);
     EXPECT_TRUE(p->mayReport("regina"));
     EXPECT_FALSE(p->mayReport("moose-jaw"));
@@ -396,14 +397,14 @@
     EXPECT_FALSE(p->mayHold(50, "regina"));
     EXPECT_FALSE(p->mayHold(1, "moose-jaw"));
     EXPECT_EQ(passports.find({"unknown"}), nullptr);
-    EXPECT_TRUE((Passport{true, {}, {}, {}}).mayHold(1, "x"));
+    EXPECT_TRUE((Permissions{true, {}, {}, {}}).mayHold(1, "x"));
 }
 
-TEST(Passports, RangesOfRelaysAreReadStrictly) {
-    EXPECT_EQ(parseRelays("7"), (std::pair<ProxyId, ProxyId>(7, 7)));
-    EXPECT_EQ(parseRelays("0-65535"), (std::pair<ProxyId, ProxyId>(0, 65535)));
+TEST(PermissionTable, RangesOfRelaysAreReadStrictly) {
+    EXPECT_EQ(parseRelayRange("7"), (std::pair<ProxyId, ProxyId>(7, 7)));
+    EXPECT_EQ(parseRelayRange("0-65535"), (std::pair<ProxyId, ProxyId>(0, 65535)));
     for (const char* wrong : {"", "-", "5-", "-5", "9-3", "a", "1-2-3", "65536", "1 - 2"}) {
-        EXPECT_FALSE(parseRelays(wrong)) << wrong;
+        EXPECT_FALSE(parseRelayRange(wrong)) << wrong;
     }
 }
 
--- a/tests/membership/peers_test.cpp
+++ b/tests/membership/peers_test.cpp
@@ -77,12 +77,12 @@
 
 TEST(Peers, TwoOfOneNameAreNoticed) {
     Peers one("n0", "n0", 5, {}, 1);
-    one.know("n1", "n1", 0);
+    one.addSeed("n1", "n1", 0);
     const PeerMessage other{PeerMessage::Kind::ping, "n1", "n0", 1, "", {{"n0", 9, PeerState::alive, "x"}}};
     (void)one.received(other, kSecond);
     const auto events = one.takeEvents();
     ASSERT_EQ(events.size(), 1U);
-    EXPECT_EQ(events[0].kind, PeerEvent::Kind::twoOfOneName);
+    EXPECT_EQ(events[0].kind, PeerEvent::Kind::duplicateName);
 }
 
 TEST(Peers, TwoOfOneNameAtTwoPlacesAreNoticedByOthers) {
@@ -97,7 +97,7 @@
     for (int i = 0; i < 3; ++i) (void)one.received(says("a:1", 7), 3 * kSecond);
     const auto events = one.takeEvents();
     ASSERT_EQ(events.size(), 1U) << "told once";
-    EXPECT_EQ(events[0].kind, PeerEvent::Kind::twoOfOneName);
+    EXPECT_EQ(events[0].kind, PeerEvent::Kind::duplicateName);
     EXPECT_EQ(events[0].name, "n1");
     EXPECT_EQ(one.addressOf("n1"), "b:1");
 }
--- a/tests/proxy/core_test.cpp
+++ b/tests/proxy/core_test.cpp
@@ -358,7 +358,7 @@
                                 for (const unsigned tries : {1U, 2U, 3U}) {
                                     const TryEnd end{came, written, came == Came::answer ? status : 0, says};
                                     const bool more = proxy::again(end, {fragile, kept, tries, kSecond},
-                                                                   mode) == attempts::Why::again;
+                                                                   mode) == attempts::RetryDecision::retry;
                                     ++all;
                                     again += more ? 1 : 0;
                                     if (more) {
@@ -399,9 +399,9 @@
 TEST(Attempts, TheTimeEndsThemAndWhatIsToldSaysWhatCame) {
     const TryEnd refused{Came::noConnection, 0, 0, false};
     EXPECT_EQ(finalOf(refused), (Verdict{Next::tell, 503, "the box can't be reached", 1}));
-    EXPECT_EQ(again(refused, {false, true, 1, 0}, 1), attempts::Why::noTime);
-    EXPECT_EQ(again(refused, {false, true, 1, 1}, 1), attempts::Why::again);
-    EXPECT_EQ(again(refused, {false, false, 1, 1}, 1), attempts::Why::bodyGone);
+    EXPECT_EQ(again(refused, {false, true, 1, 0}, 1), attempts::RetryDecision::noTime);
+    EXPECT_EQ(again(refused, {false, true, 1, 1}, 1), attempts::RetryDecision::retry);
+    EXPECT_EQ(again(refused, {false, false, 1, 1}, 1), attempts::RetryDecision::bodyGone);
 }
 
 // ---- Steering ----
--- a/tests/recovery/memory_test.cpp
+++ b/tests/recovery/memory_test.cpp
@@ -126,7 +126,7 @@
             const auto to = all_.find(memory.addressOf(message.to));
             if (to != all_.end()) to->second->heard(message, now);
         }
-        for (const PeerPlace& peer : todo.ask) {
+        for (const PeerEndpoint& peer : todo.ask) {
             const auto to = all_.find(peer.address);
             if (to == all_.end() || dumb.count(peer.name) != 0) {
                 memory.answered(peer.name, std::nullopt, 0, "it is gone", now);
--- a/tests/sources/engine_test.cpp
+++ b/tests/sources/engine_test.cpp
@@ -56,7 +56,7 @@
             },
             [&] { at = 0; });
         JournalFile journal(directory + "/" + journalName, Sync::each);
-        const attempts::Resumed resumed = attempts::recall(journal.records(), plan.ledger());
+        const attempts::Resumed resumed = attempts::restoreLedger(journal.records(), plan.ledger());
         results.emplace(std::vector<std::string>{"image", "reserve"});
         engine.targets = {*transport::parseAddress(address)};
         transport::Loop loop;
@@ -119,7 +119,7 @@
     const auto before = std::signal(SIGXFSZ, SIG_IGN);
     rlimit limit{};
     getrlimit(RLIMIT_FSIZE, &limit);
-    const rlimit small{10 * attempts::kJournalRecord + 5, limit.rlim_max};
+    const rlimit small{10 * attempts::kJournalRecordBytes + 5, limit.rlim_max};
     setrlimit(RLIMIT_FSIZE, &small);
     EXPECT_THROW((void)play(entries(1, 200), box.address(), "full"), std::runtime_error);
     setrlimit(RLIMIT_FSIZE, &limit);
@@ -144,7 +144,7 @@
     attempts::EffectLedger ledger({});
     std::ifstream in(directory + "/j", std::ios::binary);
     const std::string bytes{std::istreambuf_iterator<char>(in), {}};
-    (void)attempts::recall(attempts::readJournal(bytes).records, ledger);
+    (void)attempts::restoreLedger(attempts::readJournal(bytes).records, ledger);
     EXPECT_EQ(ledger.counts().free, 5U);
 }
 
--- a/tests/sources/plan_test.cpp
+++ b/tests/sources/plan_test.cpp
@@ -222,7 +222,8 @@
     }
     PlanSettings settings;
     settings.tries = random() % 2 == 0 ? Tries::recorded : Tries::first;
-    settings.effects.unknown = random() % 2 == 0 ? attempts::Unknown::once : attempts::Unknown::leaveOut;
+    settings.effects.unknown =
+        random() % 2 == 0 ? attempts::UnknownPolicy::once : attempts::UnknownPolicy::leaveOut;
     std::map<attempts::Intent, int> booked;
     std::vector<std::pair<attempts::Intent, std::optional<Effect>>> journal;
     std::vector<std::pair<std::uint64_t, std::uint64_t>> kin;
@@ -233,7 +234,7 @@
             effect ? rig.plan.ledger().ended(intent, *effect)
                    : rig.plan.ledger().begun({intent, Effect::unknown, 0, 0});
         }
-        rig.plan.ledger().spendOpen();
+        rig.plan.ledger().markOpenUncertain();
         rig.plan.begin(0, reached);
         std::vector<Send> out;
         const Micros killAt = run == 5 ? 100 * kSecond : static_cast<Micros>(random() % (3 * kSecond));
--- a/tests/sources/sources_test.cpp
+++ b/tests/sources/sources_test.cpp
@@ -195,7 +195,7 @@
     EXPECT_EQ(got.entries[0].host, "box");
     EXPECT_EQ(got.entries[0].took, 250000);
     EXPECT_EQ(got.entries[0].answer.bytes, 12);
-    EXPECT_EQ(got.entries[1].answer.ended, attempts::Ended::notTold);
+    EXPECT_EQ(got.entries[1].answer.ended, attempts::Ended::notRecorded);
     EXPECT_EQ(got.wrong.size(), 3U);
 }
 
