--- a/src/decisions/recovery/coordinator.cpp
+++ b/src/decisions/recovery/coordinator.cpp
@@ -15,10 +15,10 @@
     switch (event.kind) {
         case PeerEvent::Kind::joined: return "peer " + event.name + " joined";
         case PeerEvent::Kind::suspected: return "peer " + event.name + " is not responding";
-        case PeerEvent::Kind::back: return "peer " + event.name + " is responding again";
+        case PeerEvent::Kind::recovered: return "peer " + event.name + " is responding again";
         case PeerEvent::Kind::died: return "peer " + event.name + " is considered dead";
         case PeerEvent::Kind::left: return "peer " + event.name + " left";
-        case PeerEvent::Kind::twoOfOneName:
+        case PeerEvent::Kind::duplicateName:
             return "two instances are named " + event.name + "; each needs a unique name";
     }
     return "?";
@@ -32,16 +32,16 @@
       knowledge_(settings.self, settings.incarnation, settings.knowledge),
       queries_(settings.peerQueries, settings.seed, now),
       peers_(settings.self, "", settings.incarnation, settings.membership, settings.seed) {
-    for (const PeerPlace& peer : settings.peers) {
+    for (const PeerEndpoint& peer : settings.peers) {
         if (peer.name == settings.self) continue;
         queries_.addPeer(peer.name, now);
-        peers_.know(peer.name, peer.address, now);
+        peers_.addSeed(peer.name, peer.address, now);
     }
 }
 
 void Coordinator::connect(const std::string& address) {
     connected_ = share_;
-    peers_.reachedAt(address);
+    peers_.setAddress(address);
 }
 
 void Coordinator::updateList(std::uint64_t version, const std::map<std::string, Knowledge::ListedServer>& all,
--- a/src/decisions/recovery/coordinator.h
+++ b/src/decisions/recovery/coordinator.h
@@ -14,14 +14,14 @@
 
 namespace marldale::recovery {
 
-using membership::PeerPlace;
+using membership::PeerEndpoint;
 
 struct CoordinatorSettings {
     std::string self;
     bool share = false;  // exchange facts with peers and track which of them are alive
     std::uint64_t incarnation = 0;
     std::uint64_t seed = 0;
-    std::vector<PeerPlace> peers;  // the peers known at the start
+    std::vector<PeerEndpoint> peers;  // the peers known at the start
     KnowledgeRules knowledge;
     PeerQueryRules peerQueries;
     membership::PeerRules membership;
@@ -38,7 +38,7 @@
 struct CoordinatorActions {
     std::vector<Hold> holds;        // for the decision module, before the sums
     std::vector<RecalledSum> sums;  // for the decision module
-    std::vector<PeerPlace> queries;
+    std::vector<PeerEndpoint> queries;
     std::vector<membership::PeerMessage> messages;
     std::vector<std::string> logLines;
     [[nodiscard]] bool empty() const {
--- a/src/planner/knowledge/keeper.cpp
+++ b/src/planner/knowledge/keeper.cpp
@@ -221,7 +221,7 @@
         }
         for (const std::string& line : actions.logLines) host_.log("knowledge", line);
         for (const auto& message : actions.messages) send(link, message);
-        for (const PeerPlace& peer : actions.queries) {
+        for (const PeerEndpoint& peer : actions.queries) {
             if (link != nullptr) link->ask(peer);
         }
     }
--- a/tests/recovery/coordinator_test.cpp
+++ b/tests/recovery/coordinator_test.cpp
@@ -126,7 +126,7 @@
             const auto to = all_.find(coordinator.addressOf(message.to));
             if (to != all_.end()) to->second->receiveMessage(message, now);
         }
-        for (const PeerPlace& peer : actions.queries) {
+        for (const PeerEndpoint& peer : actions.queries) {
             const auto to = all_.find(peer.address);
             if (to == all_.end() || failing.count(peer.name) != 0) {
                 coordinator.receiveHandover(peer.name, std::nullopt, 0, "the stream has ended", now);
