--- a/bench/gateway/packages.cpp
+++ b/bench/gateway/packages.cpp
@@ -508,8 +508,8 @@
         raft::Settings settings;
         settings.seeds = seeds;
         settings.seed = k + 1;
-        settings.votersMost = members;
-        raft::Stored stored;
+        settings.maxVoters = members;
+        raft::PersistentState stored;
         stored.self.set_address(seeds[k]);
         all[seeds[k]] = std::make_unique<raft::Replica>(settings, std::move(stored), 1);
     }
--- a/src/gateway/controller/controller.cpp
+++ b/src/gateway/controller/controller.cpp
@@ -206,7 +206,7 @@
     sendRaftMessages(std::move(ready.messages));
     if (ready.install) installSnapshot(*ready.install);
     for (const proto::Entry& entry : ready.committed) applied(entry);
-    for (const raft::ReadEnd& end : ready.reads) orders_->readEnded(end);
+    for (const raft::ReadResult& end : ready.reads) orders_->readEnded(end);
     return true;
 }
 
--- a/src/gateway/controller/order_queue.cpp
+++ b/src/gateway/controller/order_queue.cpp
@@ -122,12 +122,12 @@
     proposed_.erase(proposed_.begin(), end);
 }
 
-void OrderQueue::readEnded(const raft::ReadEnd& end) {
+void OrderQueue::readEnded(const raft::ReadResult& end) {
     const auto at = reads_.find(end.ticket);
     if (at == reads_.end()) return;
     const OrderId id = at->second.id;
     reads_.erase(at);
-    if (!end.sure) return endUnavailable(id, UnavailableReason::leadershipLost);
+    if (!end.confirmed) return endUnavailable(id, UnavailableReason::leadershipLost);
     replies_.push_back({id, OrderOutcome::readConfirmed, UnavailableReason::none, {}});
 }
 
--- a/src/gateway/controller/order_queue.h
+++ b/src/gateway/controller/order_queue.h
@@ -106,7 +106,7 @@
     // What the log has done, in its order.
     void committed(raft::Index index, raft::Term term, configuration::Verdict verdict);
     void installed(raft::Index through);  // a snapshot has replaced the entries up to here
-    void readEnded(const raft::ReadEnd& end);
+    void readEnded(const raft::ReadResult& end);
     // After any event of the log, and when `nextDue` has come.
     void update(Micros now);
     // No more calls are taken; those that wait have until `finish`.
--- a/src/gateway/raft/election.cpp
+++ b/src/gateway/raft/election.cpp
@@ -18,7 +18,7 @@
 
 void Replica::State::enterTerm(Term newTerm) {
     term = newTerm;
-    voted.reset();
+    votedFor.reset();
     hardDirty = true;
     leader.reset();
     // What was held back was promised in an earlier term; entries behind it may be cut by now.
@@ -66,7 +66,7 @@
     role = Role::candidate;
     report({EventKind::electionStarted, term + 1, lastIndex(), {}, {}, {}, {}});
     enterTerm(term + 1);
-    voted = self;
+    votedFor = self;
     electionDue = now + randomBetween(settings.electionLeast / 2, settings.electionLeast);
     votesGranted.clear();
     // Asked for only once the own vote is on disk, which then counts.
@@ -159,9 +159,9 @@
     const bool disturbs = !m.handed_over() && hasLiveLeader();
     if (!disturbs && m.term() > term) becomeFollower(m.term());
     const bool yes = !disturbs && m.term() == term && upToDate(m) && role != Role::leader &&
-                     (!voted || sameMember(*voted, m.from()));
-    if (yes && !voted) {
-        voted = m.from();
+                     (!votedFor || sameMember(*votedFor, m.from()));
+    if (yes && !votedFor) {
+        votedFor = m.from();
         hardDirty = true;
         resetElectionTimer();
     }
--- a/src/gateway/raft/log.cpp
+++ b/src/gateway/raft/log.cpp
@@ -43,10 +43,10 @@
     if (emitted != done || !dirty()) return;
     Write w;
     w.number = ++emitted;
-    w.hard = hardDirty;
+    w.hasHardState = hardDirty;
     w.term = term;
-    w.voted = voted;
-    w.cutFrom = cut;
+    w.votedFor = votedFor;
+    w.truncateFrom = cut;
     if (hardDirty) hardNumber = emitted;
     if (snapshotDirty) {
         w.snapshot = snapshot;
--- a/src/gateway/raft/membership.cpp
+++ b/src/gateway/raft/membership.cpp
@@ -77,7 +77,7 @@
         for (auto& voter : voters) voter.member.clear_zone();
         for (auto& learner : learners) learner.member.clear_zone();
     }
-    auto change = planMembership(voters, learners, settings.votersMost);
+    auto change = planMembership(voters, learners, settings.maxVoters);
     if (!change || !reachable(*change)) return std::nullopt;
     if (change->reason == ChangeReason::voterSilent && !withinChangeLimit()) return std::nullopt;
     // While it isn't known whether a voter is lost, no more of them: a learner may be needed in its place.
--- a/src/gateway/raft/reads.cpp
+++ b/src/gateway/raft/reads.cpp
@@ -29,10 +29,10 @@
 }
 
 void Replica::State::endReads() {
-    if (reads.empty() || (commit < startIndex && !settings.faults.readsAlone)) return;
+    if (reads.empty() || (commit < startIndex && !settings.faults.readsWithoutRound)) return;
     updateQuorumContact();
     const auto isConfirmed = [&](const Read& r) {
-        return r.round <= confirmedRound || settings.faults.readsAlone;
+        return r.round <= confirmedRound || settings.faults.readsWithoutRound;
     };
     for (const auto& r : reads)
         if (isConfirmed(r)) out.reads.push_back({r.ticket, true, commit});
--- a/src/gateway/raft/replica.cpp
+++ b/src/gateway/raft/replica.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-Breach breachHandler = nullptr;
+InvariantHandler invariantHandler = nullptr;
 
 }  // namespace
 
-void onBreach(Breach breach) { breachHandler = breach; }
+void setInvariantHandler(InvariantHandler breach) { invariantHandler = breach; }
 
 void check(bool holds, const char* sentence) {
     if (holds) return;
-    if (breachHandler != nullptr) breachHandler(sentence);
+    if (invariantHandler != nullptr) invariantHandler(sentence);
     std::fprintf(stderr, "raft: %s\n", sentence);
     std::abort();
 }
 
-Replica::State::State(Settings s, Stored stored, Micros at)
+Replica::State::State(Settings s, PersistentState stored, Micros at)
     : settings(std::move(s)),
       self(stored.self),
       now(at),
@@ -31,7 +31,7 @@
     random =
         bytes::mixed(settings.seed ^ bytes::mixed(self.number() + std::hash<std::string>()(self.address())));
     term = stored.term;
-    voted = std::move(stored.voted);
+    votedFor = std::move(stored.votedFor);
     snapshot = std::move(stored.snapshot);
     base = snapshot.index();
     baseTerm = snapshot.term();
@@ -54,7 +54,7 @@
     durable = inFlightLast = lastIndex();
     if (before > term) {
         term = before;
-        voted.reset();
+        votedFor.reset();
         hardDirty = true;
     }
     commit = applied = base;
@@ -93,7 +93,7 @@
     }
 }
 
-Replica::Replica(Settings settings, Stored stored, Micros now)
+Replica::Replica(Settings settings, PersistentState stored, Micros now)
     : state_(std::make_unique<State>(std::move(settings), std::move(stored), now)) {}
 Replica::~Replica() = default;
 
@@ -171,7 +171,7 @@
     s.reads.push_back({ticket, s.round + 1, s.now});
 }
 
-void Replica::handOver(Micros now) {
+void Replica::transferLeadership(Micros now) {
     state_->now = std::max(state_->now, now);
     state_->beginTransfer();
 }
--- a/src/gateway/raft/replica.h
+++ b/src/gateway/raft/replica.h
@@ -22,10 +22,10 @@
 using Index = std::uint64_t;
 
 // What a disk keeps: all of it is back after a restart, or the machine comes back as a stranger.
-struct Stored {
+struct PersistentState {
     proto::Member self;  // its number is drawn when the disk is first written
     Term term = 0;
-    std::optional<proto::Member> voted;
+    std::optional<proto::Member> votedFor;
     proto::Snapshot snapshot;           // index 0: none; its members are those at that index
     std::vector<proto::Entry> entries;  // after the snapshot, without gaps
 };
@@ -35,7 +35,7 @@
     bool answersVoteUnsynced = false;
     bool answersAppendUnsynced = false;
     bool countsOwnUnsynced = false;  // a leader's own entries count before its disk has them
-    bool readsAlone = false;         // without a round
+    bool readsWithoutRound = false;  // without a round
     bool commitsOldTerms = false;    // entries of earlier terms by counting
     bool votesForShorterLogs = false;
     bool changesAtOnce = false;            // members change though the last change isn't committed
@@ -55,9 +55,9 @@
 
 struct Settings {
     std::vector<std::string>
-        seeds;                   // addresses (inside) of the first voters; used only where `self.number` is 0
-    std::uint64_t seed = 1;      // of election times
-    std::size_t votersMost = 7;  // an odd number of voters is aimed at, up to this; the others learn
+        seeds;                  // addresses (inside) of the first voters; used only where `self.number` is 0
+    std::uint64_t seed = 1;     // of election times
+    std::size_t maxVoters = 7;  // an odd number of voters is aimed at, up to this; the others learn
     Micros heartbeat = 150000;
     Micros electionLeast = 600000, electionMost = 1200000;
     // The successor of a lost machine votes within this span of its own start (`bounds.catch_up`).
@@ -73,20 +73,20 @@
 
 // What must never be, in words. By default written to standard error, and the process ends; tests put a
 // function here that throws.
-using Breach = void (*)(const char* sentence);
-void onBreach(Breach breach);
+using InvariantHandler = void (*)(const char* sentence);
+void setInvariantHandler(InvariantHandler breach);
 
 // One sync of the disk: all of it, or nothing. Writes are done in order; `Replica::persisted` tells the last
 // done.
 struct Write {
     std::uint64_t number = 0;
-    bool hard = false;  // term and vote are to be written
+    bool hasHardState = false;  // term and vote are to be written
     Term term = 0;
-    std::optional<proto::Member> voted;
-    std::optional<Index> cutFrom;       // drop stored entries from this index on, before appending
-    std::vector<proto::Entry> entries;  // to append
-    std::optional<proto::Snapshot>
-        snapshot;  // replaces all up to its index (entries beyond it stay only where `cutFrom` says nothing)
+    std::optional<proto::Member> votedFor;
+    std::optional<Index> truncateFrom;        // drop stored entries from this index on, before appending
+    std::vector<proto::Entry> entries;        // to append
+    std::optional<proto::Snapshot> snapshot;  // replaces all up to its index (entries beyond it stay only
+                                              // where `truncateFrom` says nothing)
 };
 
 // What happened, for the log output of the process.
@@ -130,9 +130,10 @@
     std::vector<PeerStatus> peers;  // only where this leads: voters and learners but itself
 };
 
-struct ReadEnd {
+struct ReadResult {
     std::uint64_t ticket = 0;
-    bool sure = false;  // what is applied up to `index` is the newest; otherwise this is no leader (any more)
+    bool confirmed =
+        false;  // what is applied up to `index` is the newest; otherwise this is no leader (any more)
     Index index = 0;
 };
 
@@ -143,13 +144,13 @@
     std::vector<Write> writes;
     std::optional<proto::Snapshot> install;  // the state machine begins anew from this, before `committed`
     std::vector<proto::Entry> committed;
-    std::vector<ReadEnd> reads;
+    std::vector<ReadResult> reads;
     std::vector<Event> events;
 };
 
 class Replica {
 public:
-    Replica(Settings settings, Stored stored, Micros now);
+    Replica(Settings settings, PersistentState stored, Micros now);
     ~Replica();
     Replica(const Replica&) = delete;
     Replica& operator=(const Replica&) = delete;
@@ -164,7 +165,7 @@
     [[nodiscard]] std::optional<Index> propose(Micros now, std::string data);
     void read(Micros now, std::uint64_t ticket);  // its end comes in `Ready::reads`, within a few heartbeats
     void compact(Micros now, Index through, std::string state);  // of the state machine after `through`
-    void handOver(Micros now);  // the lead goes to the voter that is furthest, where this leads
+    void transferLeadership(Micros now);  // the lead goes to the voter that is furthest, where this leads
     // This process will end (SIGTERM; whether its machine returns isn't known). It hands the lead over,
     // starts no election, and says in every answer that it leaves, so that any leader, also the next one,
     // gives its place to a learner that has caught up.
--- a/src/gateway/raft/replica_state.h
+++ b/src/gateway/raft/replica_state.h
@@ -116,7 +116,7 @@
 
     // ---- as it is written, or will be ----
     Term term = 0;
-    std::optional<Member> voted;
+    std::optional<Member> votedFor;
     proto::Snapshot snapshot;
     std::deque<Entry> log;  // from `base` + 1 on; reaches back before the snapshot
     Index base = 0;
@@ -184,7 +184,7 @@
     std::weak_ptr<const EncodedSnapshot> encodedSnapshot;  // of `snapshot`, while any transfer uses it
     std::uint64_t chunkSequence = 0;
 
-    State(Settings s, Stored stored, Micros at);
+    State(Settings s, PersistentState stored, Micros at);
 
     // ---- log ----
     [[nodiscard]] Index lastIndex() const { return base + log.size(); }
--- a/src/gateway/raft/store.cpp
+++ b/src/gateway/raft/store.cpp
@@ -255,7 +255,7 @@
         return readParts(cursor, kSnapshotParts, record.parts_bytes(), *snapshot.mutable_data());
     }
     // The index of the last one.
-    absl::StatusOr<Index> loadEntries(MDB_cursor* cursor, Stored& into) const {
+    absl::StatusOr<Index> loadEntries(MDB_cursor* cursor, PersistentState& into) const {
         const std::string first = entryKey(0);
         MDB_val k{first.size(), const_cast<char*>(first.data())};
         MDB_val v{};
@@ -288,17 +288,17 @@
         if (record.parts_bytes() == 0) return absl::OkStatus();
         return readParts(cursor, key, record.parts_bytes(), *entry.mutable_data());
     }
-    absl::StatusOr<Stored> load() const {
+    absl::StatusOr<PersistentState> load() const {
         MDB_txn* txn = nullptr;
         if (const int code = mdb_txn_begin(env, nullptr, MDB_RDONLY, &txn); code != 0)
             return fail(code, "reading");
         const std::unique_ptr<MDB_txn, void (*)(MDB_txn*)> guard(txn, mdb_txn_abort);
         proto::DiskHead found;
         if (auto s = loadHead(txn, found); !s.ok()) return s;
-        Stored out;
+        PersistentState out;
         out.self = found.self();
         out.term = found.term();
-        if (found.has_voted()) out.voted = found.voted();
+        if (found.has_voted()) out.votedFor = found.voted();
         MDB_cursor* cursor = nullptr;
         if (const int code = mdb_cursor_open(txn, dbi, &cursor); code != 0) return fail(code, "reading");
         const std::unique_ptr<MDB_cursor, void (*)(MDB_cursor*)> shutCursor(cursor, mdb_cursor_close);
@@ -370,14 +370,14 @@
 
     int fill(MDB_txn* txn, const Write& write, proto::DiskHead& next) const {
         int code = 0;
-        if (write.hard) {
+        if (write.hasHardState) {
             next.set_term(write.term);
             next.clear_voted();
-            if (write.voted) *next.mutable_voted() = *write.voted;
+            if (write.votedFor) *next.mutable_voted() = *write.votedFor;
         }
-        if (write.cutFrom && code == 0) {
-            code = drop(txn, dbi, *write.cutFrom, ~Index{0});
-            next.set_last_index(std::min(next.last_index(), *write.cutFrom - 1));
+        if (write.truncateFrom && code == 0) {
+            code = drop(txn, dbi, *write.truncateFrom, ~Index{0});
+            next.set_last_index(std::min(next.last_index(), *write.truncateFrom - 1));
         }
         if (write.snapshot && code == 0) {
             code = drop(txn, dbi, 0, write.snapshot->index());
@@ -472,7 +472,7 @@
     return std::unique_ptr<Store>(new Store(std::move(state)));
 }
 
-absl::StatusOr<Stored> Store::load() const { return state_->load(); }
+absl::StatusOr<PersistentState> Store::load() const { return state_->load(); }
 
 absl::Status Store::write(const Write& write) { return state_->write(write); }
 
--- a/src/gateway/raft/store.h
+++ b/src/gateway/raft/store.h
@@ -18,7 +18,7 @@
                                                        bool firstRun, bool seed,
                                                        std::size_t mapBytes = std::size_t{160} << 20U);
     ~Store();
-    [[nodiscard]] absl::StatusOr<Stored> load() const;
+    [[nodiscard]] absl::StatusOr<PersistentState> load() const;
     // Durable when it returns well (data and the root of the tree synced). May be tried again after an error
     // (a full disk).
     [[nodiscard]] absl::Status write(const Write& write);
--- a/tests/gateway/orders_over_replicas_test.cpp
+++ b/tests/gateway/orders_over_replicas_test.cpp
@@ -24,7 +24,8 @@
 }
 
 struct Node {
-    Node(raft::Settings settings, const raft::Stored& stored) : replica(std::move(settings), stored, 0) {}
+    Node(raft::Settings settings, const raft::PersistentState& stored)
+        : replica(std::move(settings), stored, 0) {}
     raft::Replica replica;
     ReplicaLog log{replica};
     OrderQueue queue{log, {}};
@@ -36,7 +37,7 @@
         raft::Settings settings;
         for (std::size_t k = 0; k < kNodes; ++k) settings.seeds.push_back(std::to_string(k));
         for (std::size_t k = 0; k < kNodes; ++k) {
-            raft::Stored stored;
+            raft::PersistentState stored;
             stored.self.set_address(std::to_string(k));
             settings.seed = k + 1;
             nodes.push_back(std::make_unique<Node>(settings, stored));
@@ -58,7 +59,7 @@
             node.queue.committed(entry.index(), entry.term(), verdict);
             if (snapshots) node.replica.compact(now, entry.index(), node.store.snapshot());
         }
-        for (const raft::ReadEnd& end : ready.reads) node.queue.readEnded(end);
+        for (const raft::ReadResult& end : ready.reads) node.queue.readEnded(end);
         for (const auto& message : ready.messages) {
             const std::size_t to = std::stoul(message.to().address());
             if (passes(k, to)) nodes[to]->replica.receive(now, message);
--- a/tests/gateway/raft_catch_up_test.cpp
+++ b/tests/gateway/raft_catch_up_test.cpp
@@ -126,7 +126,7 @@
     static constexpr Micros kNever = std::numeric_limits<Micros>::max();
     static constexpr double kDiskBytesPerSecond = 50e6;
     struct Machine {
-        Stored disk;
+        PersistentState disk;
         std::unique_ptr<Replica> replica;
         std::uint64_t incarnation = 0;
         Index applied = 0;
@@ -197,14 +197,14 @@
         put(m.disk, write);
         m.replica->persisted(now_, write.number);
     }
-    static void put(Stored& disk, const Write& write) {
-        if (write.hard) {
+    static void put(PersistentState& disk, const Write& write) {
+        if (write.hasHardState) {
             disk.term = write.term;
-            disk.voted = write.voted;
+            disk.votedFor = write.votedFor;
         }
         auto& entries = disk.entries;
-        if (write.cutFrom)
-            std::erase_if(entries, [&](const auto& entry) { return entry.index() >= *write.cutFrom; });
+        if (write.truncateFrom)
+            std::erase_if(entries, [&](const auto& entry) { return entry.index() >= *write.truncateFrom; });
         if (write.snapshot) {
             std::erase_if(entries,
                           [&](const auto& entry) { return entry.index() <= write.snapshot->index(); });
--- a/tests/gateway/raft_replica_test.cpp
+++ b/tests/gateway/raft_replica_test.cpp
@@ -20,7 +20,7 @@
         std::vector<Write> waiting;  // while its disk hangs
         bool hangs = false;
         std::map<Index, Term> applied;
-        std::vector<ReadEnd> reads;
+        std::vector<ReadResult> reads;
         std::vector<Event> events;
         std::vector<Micros> changesProposedAt;  // of membership
         std::size_t messages = 0, ticks = 0;
@@ -33,7 +33,7 @@
     explicit Table(std::size_t count, Settings settings = {}) : seats(count) {
         for (std::size_t k = 0; k < count; ++k) settings.seeds.push_back(std::to_string(k));
         for (std::size_t k = 0; k < count; ++k) {
-            Stored stored;
+            PersistentState stored;
             stored.self.set_address(std::to_string(k));
             settings.seed = k + 1;
             seats[k].replica = std::make_unique<Replica>(settings, stored, now);
@@ -44,7 +44,7 @@
     std::size_t addLearner(Settings settings = {}) {
         const std::size_t k = seats.size();
         for (std::size_t seed = 0; seed < 3; ++seed) settings.seeds.push_back(std::to_string(seed));
-        Stored stored;
+        PersistentState stored;
         stored.self.set_address(std::to_string(k));
         stored.self.set_number(1000 + k);
         settings.seed = k + 1;
@@ -176,15 +176,15 @@
     rest.erase(first);
     rest.erase(others[0]);
     rest.insert(second);
-    onBreach([](const char* sentence) { throw std::logic_error(sentence); });
+    setInvariantHandler([](const char* sentence) { throw std::logic_error(sentence); });
     if (planted) {  // it overwrites what was committed
         CHECK_THROWS_WITH(table.elected(rest), Catch::Contains("committed"));
-        onBreach(nullptr);
+        setInvariantHandler(nullptr);
         return;
     }
     CHECK(table.elected(rest) == second);
     table.run(1000000);
-    onBreach(nullptr);
+    setInvariantHandler(nullptr);
     const auto there = table.seats[second].applied.find(*entry);
     REQUIRE(there != table.seats[second].applied.end());
     CHECK(there->second == secondTerm);
@@ -246,7 +246,7 @@
     Table table(3);
     const std::size_t first = table.elected({0, 1, 2});
     table.run(200000);
-    table.at(first).handOver(table.now);
+    table.at(first).transferLeadership(table.now);
     table.settle();
     const std::size_t second = table.leader();
     REQUIRE(second < 3);
@@ -257,7 +257,7 @@
     // Alone, nothing is handed over, and after a while it takes proposals again.
     table.together = {second};
     table.run(700000);
-    table.at(second).handOver(table.now);
+    table.at(second).transferLeadership(table.now);
     table.settle();
     CHECK_FALSE(table.at(second).propose(table.now, "y"));
     table.together = {0, 1, 2};
@@ -288,7 +288,7 @@
     table.run(1500000);
     CHECK_FALSE(table.at(first).leads());
     REQUIRE(table.seats[first].reads.size() == 1);
-    CHECK_FALSE(table.seats[first].reads[0].sure);
+    CHECK_FALSE(table.seats[first].reads[0].confirmed);
     CHECK(table.at(first).quorumContactAge(table.now) >= 1200000);
     CHECK(table.leader() < 3);
 }
@@ -463,6 +463,6 @@
     table.at(first).read(table.now, 7);
     table.settle();
     REQUIRE(table.seats[first].reads.size() == 1);
-    CHECK_FALSE(table.seats[first].reads[0].sure);
+    CHECK_FALSE(table.seats[first].reads[0].confirmed);
     CHECK(table.countEvents(EventKind::quorumLost) == 1);
 }
--- a/tests/gateway/raft_store_test.cpp
+++ b/tests/gateway/raft_store_test.cpp
@@ -63,7 +63,7 @@
     std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
 }
 
-Stored loaded(const Store& store) {
+PersistentState loaded(const Store& store) {
     auto stored = store.load();
     INFO(stored.status());
     REQUIRE(stored.ok());
@@ -99,13 +99,13 @@
     {
         auto store = opened(folder.under("a"));
         Write w = entries(1, 9, 100);
-        w.hard = true;
+        w.hasHardState = true;
         w.term = 3;
-        w.voted = proto::Member();
-        w.voted->set_address("10.0.0.2:7540");
+        w.votedFor = proto::Member();
+        w.votedFor->set_address("10.0.0.2:7540");
         REQUIRE(store->write(w).ok());
         Write again;
-        again.cutFrom = 7;
+        again.truncateFrom = 7;
         again.entries = {entry(3, 7, "new")};
         REQUIRE(store->write(again).ok());
         Write snapshot;
@@ -116,10 +116,10 @@
         REQUIRE(store->write(snapshot).ok());
         REQUIRE(store->write(snapshot).ok());
     }
-    const Stored stored = loaded(*opened(folder.under("a")));
+    const PersistentState stored = loaded(*opened(folder.under("a")));
     CHECK(stored.term == 3);
-    REQUIRE(stored.voted);
-    CHECK(stored.voted->address() == "10.0.0.2:7540");
+    REQUIRE(stored.votedFor);
+    CHECK(stored.votedFor->address() == "10.0.0.2:7540");
     CHECK(stored.snapshot.index() == 4);
     CHECK(stored.snapshot.data().size() == 500000);
     REQUIRE(stored.entries.size() == 3);
@@ -178,11 +178,11 @@
         REQUIRE(store->write(snapshot).ok());
         snapshot.snapshot->set_index(4);
         snapshot.snapshot->set_data(state);
-        snapshot.cutFrom = 6;
+        snapshot.truncateFrom = 6;
         snapshot.entries = {entry(2, 6, std::string(16, 'x')), entry(2, 7, std::string(50000, 'y'))};
         REQUIRE(store->write(snapshot).ok());
     }
-    const Stored stored = loaded(*opened(folder.under("a")));
+    const PersistentState stored = loaded(*opened(folder.under("a")));
     CHECK(stored.snapshot.data() == state);
     REQUIRE(stored.entries.size() == 3);
     CHECK(stored.entries[0].data() == std::string(200000, 'a' + 5));
@@ -207,7 +207,7 @@
     auto store = opened(folder.under("a"));
     for (Index index = 1; index <= 40; ++index) {
         const std::string before = content(path);
-        const Stored held = loaded(*store);
+        const PersistentState held = loaded(*store);
         Write write = entries(index, index, 30000 + 1000 * index);
         if (index % 5 == 0) {
             write.snapshot = proto::Snapshot();
@@ -219,7 +219,7 @@
         std::copy_n(before.begin(), kRoots, torn.begin());
         std::filesystem::create_directories(folder.path / "torn");
         content(folder.under("torn/raft.mdb"), torn);
-        const Stored found = loaded(*opened(folder.under("torn")));
+        const PersistentState found = loaded(*opened(folder.under("torn")));
         CHECK(found.snapshot.index() == held.snapshot.index());
         CHECK(found.snapshot.data() == held.snapshot.data());
         REQUIRE(found.entries.size() == held.entries.size());
@@ -426,7 +426,7 @@
     }
     ready = leader().replica->take();
     REQUIRE(ready.reads.size() == 1);
-    CHECK(ready.reads[0].sure);
+    CHECK(ready.reads[0].confirmed);
     CHECK(ready.reads[0].index == leader().replica->committed());
     for (auto& [name, m] : machines) CHECK(m.replica->quorumContactAge(now) >= 0);
 }
--- a/tests/gateway/raft_world.h
+++ b/tests/gateway/raft_world.h
@@ -76,7 +76,7 @@
 class World {
 public:
     explicit World(Plan plan) : plan_(plan), random_{bytes::mixed(plan.seed)} {
-        onBreach([](const char* sentence) { throw Broken(sentence); });
+        setInvariantHandler([](const char* sentence) { throw Broken(sentence); });
         static constexpr std::size_t kSizes[] = {1, 2, 3, 3, 3, 3, 3, 4, 4, 4, 4, 4, 5, 5, 5, 5, 6, 7, 7, 7};
         size_ = plan.machines != 0 ? plan.machines : kSizes[random_.below(std::size(kSizes))];
         survive_ = size_ < 3 ? 0 : size_ < 7 ? 1 : 2;
@@ -186,7 +186,7 @@
         std::string address, zone;
         bool there = false, up = false;
         std::uint64_t incarnation = 0;
-        Stored disk;
+        PersistentState disk;
         std::unique_ptr<Replica> replica;
         Index applied = 0;
         std::uint64_t version = 0;
@@ -376,18 +376,18 @@
         m.disk.self.set_address(m.address);
         m.disk.self.set_number(keeps ? 0 : number());
     }
-    static void put(Stored& disk, const Write& w) {
-        if (w.hard) {
+    static void put(PersistentState& disk, const Write& w) {
+        if (w.hasHardState) {
             expect(w.term >= disk.term, "a term on disk goes back");
-            expect(w.term > disk.term || !disk.voted ||
-                       (w.voted && w.voted->SerializeAsString() == disk.voted->SerializeAsString()),
+            expect(w.term > disk.term || !disk.votedFor ||
+                       (w.votedFor && w.votedFor->SerializeAsString() == disk.votedFor->SerializeAsString()),
                    "a vote on disk changes");
             disk.term = w.term;
-            disk.voted = w.voted;
+            disk.votedFor = w.votedFor;
         }
         auto& entries = disk.entries;
-        if (w.cutFrom)
-            while (!entries.empty() && entries.back().index() >= *w.cutFrom) entries.pop_back();
+        if (w.truncateFrom)
+            while (!entries.empty() && entries.back().index() >= *w.truncateFrom) entries.pop_back();
         if (w.snapshot) {
             const auto keep = std::find_if(entries.begin(), entries.end(),
                                            [&](const auto& e) { return e.index() > w.snapshot->index(); });
@@ -423,7 +423,7 @@
         for (const auto& r : ready.reads) {
             const auto asked = m.reads.find(r.ticket);
             expect(asked != m.reads.end(), "a read ends twice");
-            if (r.sure) {
+            if (r.confirmed) {
                 ++figures_.reads;
                 expect(r.index >= asked->second, "a read is older than what was acknowledged before it");
                 expect(m.applied >= r.index, "a read is of what isn't applied yet");
@@ -700,7 +700,7 @@
         if (whole < 10) {
             closeAtElection_ = true;
             if (const auto l = aLeader(); l && random_.chance(0.5))
-                machines_[*l].replica->handOver(now_), soon(*l);
+                machines_[*l].replica->transferLeadership(now_), soon(*l);
             return;
         }
         if (!bounded_ && whole < 10 + plan_.splits) return splitLeaders();
@@ -745,7 +745,7 @@
         const auto l = aLeader();
         if (!l) return;
         split_ = Split::armed;
-        machines_[*l].replica->handOver(now_);
+        machines_[*l].replica->transferLeadership(now_);
         soon(*l);
     }
     void splitAt(std::size_t from, std::size_t to) {
@@ -821,7 +821,7 @@
             }
             case 14: {  // a planned end
                 if (!m.up) return;
-                m.replica->handOver(now_);
+                m.replica->transferLeadership(now_);
                 soon(k);
                 at(now_ + random_.between(0, 600 * kMs), Kind::kill, k);
                 lose(k, now_ + 2 * kSecond);
@@ -1067,7 +1067,7 @@
         }
         if (turnovers_ == 0) {
             const std::size_t wanted = there < 3 ? there : there % 2 == 1 ? there : there - 1;
-            expect(voters == std::min<std::size_t>(wanted, settings_.votersMost),
+            expect(voters == std::min<std::size_t>(wanted, settings_.maxVoters),
                    "there are " + std::to_string(voters) + " voters, not " + std::to_string(wanted));
         } else {
             expect(alive >= voters / 2 + 1 + survive_, "as many as may be lost can't be lost: of " +
--- a/tests/gateway/raft_world_test.cpp
+++ b/tests/gateway/raft_world_test.cpp
@@ -102,7 +102,7 @@
          [](Plan& p) { p.faults.answersAppendUnsynced = true; }},
         {"a leader counts its own entries before they are on disk",
          [](Plan& p) { p.faults.countsOwnUnsynced = true; }},
-        {"reads without a round", [](Plan& p) { p.faults.readsAlone = true; }},
+        {"reads without a round", [](Plan& p) { p.faults.readsWithoutRound = true; }},
         {"votes for shorter logs", [](Plan& p) { p.faults.votesForShorterLogs = true; }},
         {"members change before the last change is committed",
          [](Plan& p) { p.faults.changesAtOnce = p.wild = true, p.machines = 3, p.splits = 30; }},
--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -24,7 +24,7 @@
     if constexpr (requires { replica.leave(now); }) {
         replica.leave(now);
     } else {
-        replica.handOver(now);
+        replica.transferLeadership(now);
     }
 }
 
@@ -40,7 +40,7 @@
 NodeId nodeAt(const std::string& address) { return std::stoul(address.substr(1)); }
 
 ControllerProcess::ControllerProcess(Environment& environment, const raft::Settings& settings,
-                                     raft::Stored stored, const settings::Bounds& bounds,
+                                     raft::PersistentState stored, const settings::Bounds& bounds,
                                      const Faults& faults, Observer observer)
     : environment_(environment),
       faults_(faults),
@@ -123,7 +123,7 @@
         }
         if (ready.install) restore(*ready.install);
         for (const raft::proto::Entry& entry : ready.committed) apply(entry);
-        for (const raft::ReadEnd& end : ready.reads) orders_.readEnded(end);
+        for (const raft::ReadResult& end : ready.reads) orders_.readEnded(end);
     }
     orders_.update(environment_.now());
     deliverReplies();
--- a/tests/simulation/controller_process.h
+++ b/tests/simulation/controller_process.h
@@ -20,7 +20,7 @@
         std::function<void(NodeId proxy, const InForce&)> serves;
         std::function<void(const raft::proto::Entry&)> applies;
     };
-    ControllerProcess(Environment& environment, const raft::Settings& settings, raft::Stored stored,
+    ControllerProcess(Environment& environment, const raft::Settings& settings, raft::PersistentState stored,
                       const settings::Bounds& bounds, const Faults& faults, Observer observer);
 
     void start() override;
--- a/tests/simulation/deployment.cpp
+++ b/tests/simulation/deployment.cpp
@@ -35,7 +35,7 @@
 
 Deployment::Deployment(const Plan& plan)
     : plan_(plan), random_(plan.seed), network_(scheduler_, random_), rules_(bounds_, scheduler_) {
-    raft::onBreach([](const char* sentence) { throw RuleBroken(sentence); });
+    raft::setInvariantHandler([](const char* sentence) { throw RuleBroken(sentence); });
     const auto days = static_cast<std::uint64_t>(Day::count);
     const std::uint64_t drawnDay = random_.below(2 * days);
     day_ = plan.day.value_or(drawnDay < days ? static_cast<Day>(drawnDay) : Day::drawn);
--- a/tests/simulation/disk.h
+++ b/tests/simulation/disk.h
@@ -11,7 +11,7 @@
 
 class Disk {
 public:
-    raft::Stored stored;
+    raft::PersistentState stored;
     Micros syncTime = 500;
     Micros hungUntil = 0, fullUntil = 0;
     std::deque<raft::Write> queue;
@@ -37,13 +37,13 @@
 
 private:
     void commit(const raft::Write& write) {
-        if (write.hard) {
+        if (write.hasHardState) {
             stored.term = write.term;
-            stored.voted = write.voted;
+            stored.votedFor = write.votedFor;
         }
         auto& entries = stored.entries;
-        if (write.cutFrom)
-            while (!entries.empty() && entries.back().index() >= *write.cutFrom) entries.pop_back();
+        if (write.truncateFrom)
+            while (!entries.empty() && entries.back().index() >= *write.truncateFrom) entries.pop_back();
         if (write.snapshot) {
             const auto keep = std::find_if(entries.begin(), entries.end(), [&](const auto& entry) {
                 return entry.index() > write.snapshot->index();
--- a/tests/simulation/planted_faults.cpp
+++ b/tests/simulation/planted_faults.cpp
@@ -4,7 +4,7 @@
 
 const std::vector<PlantedFault>& plantedFaults() {
     static const std::vector<PlantedFault> kAll = {
-        {"1: reads without a round of heartbeats", [](Faults& f) { f.raft.readsAlone = true; }, 911},
+        {"1: reads without a round of heartbeats", [](Faults& f) { f.raft.readsWithoutRound = true; }, 911},
         {"1: answers without contact to a majority",
          [](Faults& f) { f.orderQueue.answersWithoutContact = true; }},
         {"1: contact counts from when a message arrived",
