--- a/src/gateway/raft/compaction_policy.h
+++ b/src/gateway/raft/compaction_policy.h
@@ -1,9 +1,9 @@
-// When a state machine's log is compacted into a snapshot (Ongaro's thesis, section 5.1.3): by bytes and
-// entries of the log since the last snapshot, both measured against the size of the state. No I/O.
+// Decides when the log of a state machine is compacted into a snapshot (Ongaro's thesis, section 5.1.3), by
+// the bytes and entries logged since the last snapshot relative to the size of the state. No I/O.
 //
-// It bounds the log (and with it the file and the time to replay it after a restart), and it bounds what
-// snapshots cost: with each change, at most half of the change's own bytes or `kSnapshotBytesPerEntry` are
-// written again.
+// The policy bounds the log, and with it the file and the replay time after a restart. It also bounds the
+// cost of snapshots: per change, they rewrite at most half of the change's own size or
+// `kSnapshotBytesPerEntry`.
 #pragma once
 
 #include <algorithm>
@@ -12,22 +12,23 @@
 
 namespace marldale::raft {
 
+// Tracks the log since the last snapshot and reports when the next one is due.
 class CompactionPolicy {
 public:
-    static constexpr std::size_t kLeastLogBytes = std::size_t{4} << 20U;
+    static constexpr std::size_t kMinLogBytes = std::size_t{4} << 20U;
     static constexpr std::size_t kLogBytesPerStateByte = 2;
-    static constexpr std::uint64_t kLeastLogEntries = 64;
+    static constexpr std::uint64_t kMinLogEntries = 64;
     static constexpr std::size_t kSnapshotBytesPerEntry = std::size_t{32} << 10U;
 
-    // An entry was applied. True where the log is to be compacted through it: then `compacted` is to be
-    // called.
+    // Records an applied entry. Returns true if the log is to be compacted through it; the caller then takes
+    // a snapshot and calls `compacted`.
     [[nodiscard]] bool applied(std::size_t entryBytes) {
         ++entries_;
         logBytes_ += entryBytes;
-        return logBytes_ >= std::max(kLeastLogBytes, kLogBytesPerStateByte * stateBytes_) ||
-               (entries_ >= kLeastLogEntries && entries_ * kSnapshotBytesPerEntry >= stateBytes_);
+        return logBytes_ >= std::max(kMinLogBytes, kLogBytesPerStateByte * stateBytes_) ||
+               (entries_ >= kMinLogEntries && entries_ * kSnapshotBytesPerEntry >= stateBytes_);
     }
-    // A snapshot of the state was made here, or installed.
+    // Records that a snapshot of `stateBytes` was taken or installed.
     void compacted(std::size_t stateBytes) {
         stateBytes_ = stateBytes;
         entries_ = 0;
@@ -35,9 +36,9 @@
     }
 
 private:
-    std::size_t stateBytes_ = 0;
-    std::uint64_t entries_ = 0;
-    std::size_t logBytes_ = 0;
+    std::size_t stateBytes_ = 0;  // of the last snapshot
+    std::uint64_t entries_ = 0;   // applied since the last snapshot
+    std::size_t logBytes_ = 0;    // applied since the last snapshot
 };
 
 }  // namespace marldale::raft
--- a/src/gateway/raft/election.cpp
+++ b/src/gateway/raft/election.cpp
@@ -1,54 +1,55 @@
-// Terms and roles: pre-vote, votes, and what changes with a role (Raft, section 5.2; thesis, section 9.6).
+// Terms, roles and elections: pre-vote, votes and the transitions between roles (Raft paper, section 5.2;
+// Ongaro's thesis, section 9.6).
 #include "gateway/raft/replica_state.h"
 
 namespace marldale::raft {
 
 void Replica::State::resetElectionTimer() {
     if (config().members.voters_size() == 1 && mayStartElection() && !joint()) {
-        electionDue = now;  // nobody else to wait for
+        electionDue = now;  // a single voter wins at once
         return;
     }
-    electionDue = now + randomBetween(settings.electionLeast, settings.electionMost);
+    electionDue = now + randomBetween(settings.minElectionTimeout, settings.maxElectionTimeout);
 }
 
 bool Replica::State::hasLiveLeader() const {
-    if (role == Role::leader) return now - confirmedAt < settings.electionLeast;
-    return leader && now - leaderContactAt < settings.electionLeast;
+    if (role == Role::leader) return now - confirmedAt < settings.minElectionTimeout;
+    return leader && now - leaderContactAt < settings.minElectionTimeout;
 }
 
 void Replica::State::enterTerm(Term newTerm) {
     term = newTerm;
     votedFor.reset();
-    hardDirty = true;
+    hardStateDirty = true;
     leader.reset();
-    // What was held back was promised in an earlier term; entries behind it may be cut by now.
-    held.clear();
-    matched = commit;
-    receivedRound = answeredRound = 0;
-    answeredMatch = acceptedPrev = 0;
-    responseDue = rejectedLast = false;
-    rejection.reset();
+    // Deferred messages belong to an earlier term, and the entries they refer to may have been truncated.
+    deferredMessages.clear();
+    matchedIndex = commit;
+    receivedRound = respondedRound = 0;
+    respondedMatch = acceptedPrevIndex = 0;
+    responseDue = lastAppendRejected = false;
+    pendingRejection.reset();
     snapshotProgress.reset();
 }
 
 void Replica::State::becomeFollower(Term newTerm) {
-    check(newTerm >= term, "the term would go back");
-    const Role was = role;
+    check(newTerm >= term, "the term would decrease");
+    const Role previousRole = role;
     if (newTerm > term) enterTerm(newTerm);
     role = Role::follower;
-    if (was == Role::leader) {
-        report({EventKind::leadershipLost, ledTerm, commit, {}, {}, {}, {}});
-        for (const auto& r : reads) out.reads.push_back({r.ticket, false, 0});
+    if (previousRole == Role::leader) {
+        report({EventKind::leadershipLost, lastLedTerm, commit, {}, {}, {}, {}});
+        for (const auto& read : reads) ready.reads.push_back({read.ticket, false, 0});
         reads.clear();
         peers.clear();
-        roundsBegun.clear();
+        roundStartTimes.clear();
         leader.reset();
-        transferStartedAt = -1;
+        leadershipTransferStartedAt = -1;
         heartbeatDue = kNever;
         leaderContactAt = now;
-        matched = commit;
+        matchedIndex = commit;
     }
-    if (was != Role::follower) resetElectionTimer();
+    if (previousRole != Role::follower) resetElectionTimer();
 }
 
 void Replica::State::startPreVote() {
@@ -56,8 +57,8 @@
     leader.reset();
     electionDue = now - startedAt < kStartupSpan
                       ? now + randomBetween(settings.heartbeat / 2, settings.heartbeat * 3 / 2)
-                      : now + randomBetween(settings.electionLeast / 2, settings.electionLeast);
-    votesGranted = {keyOf(self)};
+                      : now + randomBetween(settings.minElectionTimeout / 2, settings.minElectionTimeout);
+    votesGranted = {memberKey(self)};
     if (isQuorum(votesGranted)) return startElection(false);
     requestVotes(RaftMessage::PRE_VOTE, term + 1, false);
 }
@@ -67,117 +68,117 @@
     report({EventKind::electionStarted, term + 1, lastIndex(), {}, {}, {}, {}});
     enterTerm(term + 1);
     votedFor = self;
-    electionDue = now + randomBetween(settings.electionLeast / 2, settings.electionLeast);
+    electionDue = now + randomBetween(settings.minElectionTimeout / 2, settings.minElectionTimeout);
     votesGranted.clear();
-    // Asked for only once the own vote is on disk, which then counts.
+    // Vote requests are sent once the vote for itself is durable; only then does that vote count.
     voteWrite = nextDurableWrite();
     requestVotes(RaftMessage::VOTE, term, handedOver);
 }
 
-void Replica::State::requestVotes(RaftMessage::Kind kind, Term inTerm, bool handedOver) {
-    std::set<Key> asked{keyOf(self)};
-    const auto one = [&](const Members& all) {
-        for (const auto& m : all.voters()) {
-            if (!asked.insert(keyOf(m)).second) continue;
-            auto q = message(kind, m);
-            q.set_term(inTerm);
-            q.set_last_index(lastIndex());
-            q.set_last_term(lastTerm());
-            q.set_handed_over(handedOver);
+void Replica::State::requestVotes(RaftMessage::Kind kind, Term electionTerm, bool handedOver) {
+    std::set<MemberKey> asked{memberKey(self)};
+    const auto requestFrom = [&](const Members& all) {
+        for (const auto& voter : all.voters()) {
+            if (!asked.insert(memberKey(voter)).second) continue;
+            auto request = makeMessage(kind, voter);
+            request.set_term(electionTerm);
+            request.set_last_index(lastIndex());
+            request.set_last_term(lastTerm());
+            request.set_handed_over(handedOver);
             if (kind == RaftMessage::VOTE) {
-                sendWhenDurable(std::move(q));
+                sendWhenDurable(std::move(request));
             } else {
-                send(std::move(q));
+                send(std::move(request));
             }
         }
     };
-    one(config().members);
-    if (joint()) one(config().outgoing);
+    requestFrom(config().members);
+    if (joint()) requestFrom(config().outgoing);
 }
 
 void Replica::State::becomeLeader() {
-    check(ledTerm < term, "this would lead twice in one term");
+    check(lastLedTerm < term, "this replica would become leader twice in one term");
     role = Role::leader;
     report({EventKind::electionWon, term, lastIndex(), {}, {}, {}, {}});
-    ledTerm = term;
+    lastLedTerm = term;
     leader = self;
     electionDue = kNever;
     round = 0;
-    roundsBegun.clear();
+    roundStartTimes.clear();
     confirmedAt = now;
     confirmedRound = 0;
     heartbeatDue = now + settings.heartbeat;
-    roundWanted = true;
-    transferStartedAt = -1;
-    transferSent = false;
+    roundRequested = true;
+    leadershipTransferStartedAt = -1;
+    leadershipTransferSent = false;
     uncommittedBytes = 0;
-    for (Index i = std::max(commit, base) + 1; i <= lastIndex(); ++i)
-        uncommittedBytes += entryAt(i).data().size();
-    startIndex = lastIndex() + 1;
+    for (Index index = std::max(commit, baseIndex) + 1; index <= lastIndex(); ++index)
+        uncommittedBytes += entryAt(index).data().size();
+    termStartIndex = lastIndex() + 1;
     peers.clear();
     snapshotReceiver.discardThrough(std::numeric_limits<Index>::max());
-    trackVoters(startIndex);
-    for (auto& [key, p] : peers) {
-        p.progress = Progress::replicate;
-        // The one that led before is silent since then, not only since this election.
-        if (lastLeader && sameMember(*lastLeader, p.member)) p.lastContactAt = leaderContactAt;
+    trackVoters(termStartIndex);
+    for (auto& [key, peer] : peers) {
+        peer.progress = Progress::replicate;
+        // The previous leader has been silent since its last message, not only since this election.
+        if (lastLeader && sameMember(*lastLeader, peer.member)) peer.lastContactAt = leaderContactAt;
     }
-    Entry start;
-    *start.mutable_members() = config().members;
-    if (joint()) *start.mutable_outgoing() = config().outgoing;
-    append(std::move(start));
+    Entry noop;
+    *noop.mutable_members() = config().members;
+    if (joint()) *noop.mutable_outgoing() = config().outgoing;
+    append(std::move(noop));
     advanceCommit();
 }
 
-bool Replica::State::upToDate(const RaftMessage& m) const {
+bool Replica::State::isLogUpToDate(const RaftMessage& request) const {
     if (settings.faults.votesForShorterLogs) return true;
-    return std::pair(m.last_term(), m.last_index()) >= std::pair(lastTerm(), lastIndex());
+    return std::pair(request.last_term(), request.last_index()) >= std::pair(lastTerm(), lastIndex());
 }
 
-void Replica::State::onPreVoteRequest(const RaftMessage& m) {
-    const bool yes = m.term() > term && upToDate(m) && !hasLiveLeader();
-    auto a = message(RaftMessage::PRE_VOTE_ANSWER, m.from());
-    a.set_term(yes ? m.term() : term);
-    a.set_granted(yes);
-    send(std::move(a));
+void Replica::State::onPreVoteRequest(const RaftMessage& request) {
+    const bool granted = request.term() > term && isLogUpToDate(request) && !hasLiveLeader();
+    auto response = makeMessage(RaftMessage::PRE_VOTE_ANSWER, request.from());
+    response.set_term(granted ? request.term() : term);
+    response.set_granted(granted);
+    send(std::move(response));
 }
 
-void Replica::State::onPreVoteResponse(const RaftMessage& m) {
-    if (!m.granted()) {
-        if (m.term() <= term) return;
-        const bool again = role == Role::preCandidate;
-        becomeFollower(m.term());
-        if (again) electionDue = now + randomBetween(settings.heartbeat / 8, settings.heartbeat);
+void Replica::State::onPreVoteResponse(const RaftMessage& response) {
+    if (!response.granted()) {
+        if (response.term() <= term) return;
+        const bool wasPreCandidate = role == Role::preCandidate;
+        becomeFollower(response.term());
+        if (wasPreCandidate) electionDue = now + randomBetween(settings.heartbeat / 8, settings.heartbeat);
         return;
     }
-    if (role != Role::preCandidate || m.term() != term + 1) return;
-    votesGranted.insert(keyOf(m.from()));
+    if (role != Role::preCandidate || response.term() != term + 1) return;
+    votesGranted.insert(memberKey(response.from()));
     if (isQuorum(votesGranted)) startElection(false);
 }
 
-void Replica::State::onVoteRequest(const RaftMessage& m) {
-    const bool disturbs = !m.handed_over() && hasLiveLeader();
-    if (!disturbs && m.term() > term) becomeFollower(m.term());
-    const bool yes = !disturbs && m.term() == term && upToDate(m) && role != Role::leader &&
-                     (!votedFor || sameMember(*votedFor, m.from()));
-    if (yes && !votedFor) {
-        votedFor = m.from();
-        hardDirty = true;
+void Replica::State::onVoteRequest(const RaftMessage& request) {
+    const bool isDisruptive = !request.handed_over() && hasLiveLeader();
+    if (!isDisruptive && request.term() > term) becomeFollower(request.term());
+    const bool granted = !isDisruptive && request.term() == term && isLogUpToDate(request) &&
+                         role != Role::leader && (!votedFor || sameMember(*votedFor, request.from()));
+    if (granted && !votedFor) {
+        votedFor = request.from();
+        hardStateDirty = true;
         resetElectionTimer();
     }
-    auto a = message(RaftMessage::VOTE_ANSWER, m.from());
-    a.set_granted(yes);
+    auto response = makeMessage(RaftMessage::VOTE_ANSWER, request.from());
+    response.set_granted(granted);
     if (settings.faults.answersVoteUnsynced) {
-        send(std::move(a));
+        send(std::move(response));
     } else {
-        sendWhenDurable(std::move(a));
+        sendWhenDurable(std::move(response));
     }
 }
 
-void Replica::State::onVoteResponse(const RaftMessage& m) {
-    if (m.term() > term) return becomeFollower(m.term());
-    if (role != Role::candidate || m.term() != term || !m.granted()) return;
-    votesGranted.insert(keyOf(m.from()));
+void Replica::State::onVoteResponse(const RaftMessage& response) {
+    if (response.term() > term) return becomeFollower(response.term());
+    if (role != Role::candidate || response.term() != term || !response.granted()) return;
+    votesGranted.insert(memberKey(response.from()));
     if (isQuorum(votesGranted)) becomeLeader();
 }
 
--- a/src/gateway/raft/log.cpp
+++ b/src/gateway/raft/log.cpp
@@ -1,4 +1,4 @@
-// The log in memory, and what of it goes to the disk in which write.
+// The in-memory log, the writes that persist it, and messages that wait for those writes.
 #include "gateway/raft/replica_state.h"
 
 namespace marldale::raft {
@@ -9,66 +9,64 @@
 }
 
 void Replica::State::truncate(Index from) {
-    check(from > commit, "entries that are committed would be cut off");
-    if (from < unwritten) cut = std::min(cut.value_or(from), from);
-    unwritten = std::min(unwritten, from);
-    durable = std::min(durable, from - 1);
-    inFlightLast = std::min(inFlightLast, from - 1);
+    check(from > commit, "committed entries would be truncated");
+    if (from < firstUnwritten) truncateFrom = std::min(truncateFrom.value_or(from), from);
+    firstUnwritten = std::min(firstUnwritten, from);
+    durableIndex = std::min(durableIndex, from - 1);
+    inFlightLastIndex = std::min(inFlightLastIndex, from - 1);
     while (lastIndex() >= from) log.pop_back();
     while (configs.back().index >= from) configs.pop_back();
 }
 
 void Replica::State::commitTo(Index index) {
-    check(index >= commit, "the commit index would go back");
-    check(index <= lastIndex(), "the commit index would be beyond the log");
+    check(index >= commit, "the commit index would decrease");
+    check(index <= lastIndex(), "the commit index would exceed the last log index");
     reportCommittedChanges(commit + 1, index);
     commit = index;
 }
 
-RaftMessage Replica::State::message(RaftMessage::Kind kind, const Member& to) const {
-    RaftMessage m;
-    m.set_kind(kind);
-    *m.mutable_from() = self;
-    *m.mutable_to() = to;
-    m.set_term(term);
-    return m;
+RaftMessage Replica::State::makeMessage(RaftMessage::Kind kind, const Member& to) const {
+    RaftMessage created;
+    created.set_kind(kind);
+    *created.mutable_from() = self;
+    *created.mutable_to() = to;
+    created.set_term(term);
+    return created;
 }
 
-void Replica::State::sendWhenDurable(RaftMessage m) {
-    if (nextDurableWrite() <= done) return send(std::move(m));
-    held.emplace_back(nextDurableWrite(), std::move(m));
+void Replica::State::sendWhenDurable(RaftMessage message) {
+    if (nextDurableWrite() <= lastDurableWrite) return send(std::move(message));
+    deferredMessages.emplace_back(nextDurableWrite(), std::move(message));
 }
 
 void Replica::State::emitWrite() {
-    if (emitted != done || !dirty()) return;
-    Write w;
-    w.number = ++emitted;
-    w.hasHardState = hardDirty;
-    w.term = term;
-    w.votedFor = votedFor;
-    w.truncateFrom = cut;
-    if (hardDirty) hardNumber = emitted;
+    if (lastEmittedWrite != lastDurableWrite || !hasUnwrittenState()) return;
+    Write write;
+    write.number = ++lastEmittedWrite;
+    write.hasHardState = hardStateDirty;
+    write.term = term;
+    write.votedFor = votedFor;
+    write.truncateFrom = truncateFrom;
+    if (hardStateDirty) hardStateWrite = lastEmittedWrite;
     if (snapshotDirty) {
-        w.snapshot = snapshot;
-        unwritten = std::max(unwritten, snapshot.index() + 1);
+        write.snapshot = snapshot;
+        firstUnwritten = std::max(firstUnwritten, snapshot.index() + 1);
     }
-    for (; unwritten <= lastIndex(); ++unwritten) w.entries.push_back(entryAt(unwritten));
-    inFlightLast = lastIndex();
-    hardDirty = snapshotDirty = false;
-    cut.reset();
-    out.writes.push_back(std::move(w));
+    for (; firstUnwritten <= lastIndex(); ++firstUnwritten) write.entries.push_back(entryAt(firstUnwritten));
+    inFlightLastIndex = lastIndex();
+    hardStateDirty = snapshotDirty = false;
+    truncateFrom.reset();
+    ready.writes.push_back(std::move(write));
 }
 
 Index Replica::State::append(Entry entry) {
     entry.set_term(term);
     entry.set_index(lastIndex() + 1);
-    const bool changes = entry.has_members();
+    const bool hasMembers = entry.has_members();
     uncommittedBytes += entry.data().size();
     pushEntry(std::move(entry));
-    if (changes) trackVoters(lastIndex());
+    if (hasMembers) trackVoters(lastIndex());
     return lastIndex();
 }
 
-// Leader: what a majority has on disk is committed, where it ends in an entry of this term.
-
 }  // namespace marldale::raft
--- a/src/gateway/raft/membership_plan.cpp
+++ b/src/gateway/raft/membership_plan.cpp
@@ -1,3 +1,5 @@
+// The membership planner: enumerates the possible changes and ranks them by the losses that the voters
+// tolerate.
 #include "gateway/raft/membership_plan.h"
 
 #include <algorithm>
@@ -12,16 +14,16 @@
 
 using Selection = std::vector<const MembershipCandidate*>;
 
-constexpr std::size_t kMaxLearnersWeighed = 16;
+constexpr std::size_t kMaxLearnersConsidered = 16;
 
-// What a set of voters survives: machines that may be lost beyond those that are lost by now.
+// Fault tolerance of a set of voters: the losses it tolerates beyond the current ones.
 struct Margin {
-    int zone = 0;  // voters beyond a majority after the loss of the zone that hurts most; may be negative
-    int machines = 0;
-    int silent = 0;  // voters that are taken for lost
+    int zone = 0;      // voters beyond a majority after the loss of the largest zone; may be negative
+    int machines = 0;  // staying voters beyond a majority
+    int silent = 0;    // voters assumed lost
 
-    // At the same margin fewer silent voters are better, but none is removed where no loss could be borne
-    // afterwards: such a voter may only be restarting, and would be missed.
+    // At equal margins fewer silent voters are better. But no silent voter is removed if the remaining ones
+    // would tolerate no loss: it may only be restarting and would still be needed.
     friend bool operator<(const Margin& a, const Margin& b) {
         const auto rank = [](const Margin& margin) {
             return std::tuple(margin.zone >= 0, margin.machines, margin.zone,
@@ -47,40 +49,42 @@
     return {staying - largestZone - majority, staying - majority, silent};
 }
 
-// A change under trial.
-struct Trial {
+// A change under evaluation.
+struct CandidateChange {
     Selection added, removed;
 };
 
-Selection votersAfter(const Selection& voters, const Trial& trial) {
+Selection votersAfter(const Selection& voters, const CandidateChange& change) {
     Selection after;
     for (const MembershipCandidate* voter : voters) {
-        const bool goes = std::find(trial.removed.begin(), trial.removed.end(), voter) != trial.removed.end();
-        if (!goes) after.push_back(voter);
+        const bool isRemoved =
+            std::find(change.removed.begin(), change.removed.end(), voter) != change.removed.end();
+        if (!isRemoved) after.push_back(voter);
     }
-    after.insert(after.end(), trial.added.begin(), trial.added.end());
+    after.insert(after.end(), change.added.begin(), change.added.end());
     return after;
 }
 
-std::vector<Trial> allTrials(const Selection& voters, const Selection& learners, std::size_t maxVoters) {
-    std::vector<Trial> trials;
-    const auto room = maxVoters - std::min(maxVoters, voters.size());
+std::vector<CandidateChange> enumerateChanges(const Selection& voters, const Selection& learners,
+                                              std::size_t maxVoters) {
+    std::vector<CandidateChange> changes;
+    const auto freePlaces = maxVoters - std::min(maxVoters, voters.size());
     for (const MembershipCandidate* voter : voters)
-        for (const MembershipCandidate* learner : learners) trials.push_back({{learner}, {voter}});
+        for (const MembershipCandidate* learner : learners) changes.push_back({{learner}, {voter}});
     for (const MembershipCandidate* learner : learners)
-        if (room >= 1) trials.push_back({{learner}, {}});
+        if (freePlaces >= 1) changes.push_back({{learner}, {}});
     for (const MembershipCandidate* voter : voters)
-        if (voters.size() > 1) trials.push_back({{}, {voter}});
-    for (std::size_t i = 0; i < learners.size(); ++i)
-        for (std::size_t j = i + 1; j < learners.size() && room >= 2; ++j)
-            trials.push_back({{learners[i], learners[j]}, {}});
-    for (std::size_t i = 0; i < voters.size(); ++i)
-        for (std::size_t j = i + 1; j < voters.size() && voters.size() > 3; ++j)
-            trials.push_back({{}, {voters[i], voters[j]}});
-    return trials;
+        if (voters.size() > 1) changes.push_back({{}, {voter}});
+    for (std::size_t first = 0; first < learners.size(); ++first)
+        for (std::size_t second = first + 1; second < learners.size() && freePlaces >= 2; ++second)
+            changes.push_back({{learners[first], learners[second]}, {}});
+    for (std::size_t first = 0; first < voters.size(); ++first)
+        for (std::size_t second = first + 1; second < voters.size() && voters.size() > 3; ++second)
+            changes.push_back({{}, {voters[first], voters[second]}});
+    return changes;
 }
 
-// Where all are in one zone its loss can't be survived, and isn't weighed.
+// Zones are ignored if all machines are in one, because its loss cannot be tolerated anyway.
 bool inSeveralZones(const Selection& voters, const Selection& learners) {
     std::set<std::string> zones;
     for (const MembershipCandidate* voter : voters) zones.insert(voter->member.zone());
@@ -88,14 +92,15 @@
     return zones.size() > 1;
 }
 
-ChangeReason reasonOf(const Trial& trial) {
-    const auto any = [&](auto predicate) {
-        return std::any_of(trial.removed.begin(), trial.removed.end(), predicate);
+ChangeReason reasonOf(const CandidateChange& change) {
+    const auto anyRemoved = [&](auto predicate) {
+        return std::any_of(change.removed.begin(), change.removed.end(), predicate);
     };
-    if (any([](const MembershipCandidate* voter) { return voter->silent; })) return ChangeReason::voterSilent;
-    if (any([](const MembershipCandidate* voter) { return voter->leaving; }))
+    if (anyRemoved([](const MembershipCandidate* voter) { return voter->silent; }))
+        return ChangeReason::voterSilent;
+    if (anyRemoved([](const MembershipCandidate* voter) { return voter->leaving; }))
         return ChangeReason::voterLeaving;
-    return trial.removed.empty() ? ChangeReason::moreVoters : ChangeReason::zoneSpread;
+    return change.removed.empty() ? ChangeReason::moreVoters : ChangeReason::zoneSpread;
 }
 
 std::vector<proto::Member> membersOf(const Selection& candidates) {
@@ -115,8 +120,8 @@
 std::optional<MembershipChange> planMembership(const std::vector<MembershipCandidate>& voters,
                                                const std::vector<MembershipCandidate>& learners,
                                                std::size_t maxVoters) {
-    // Among changes of the same worth the first is taken: the lost go before the leaving, the leader goes
-    // last.
+    // Among equally good changes the first one wins. Silent voters therefore come first, leaving ones next
+    // and the leader last.
     Selection present = pointersTo(voters);
     std::stable_sort(present.begin(), present.end(),
                      [](const MembershipCandidate* a, const MembershipCandidate* b) {
@@ -125,15 +130,15 @@
                      });
     Selection available;
     for (const MembershipCandidate& learner : learners)
-        if (learner.staying() && available.size() < kMaxLearnersWeighed) available.push_back(&learner);
+        if (learner.staying() && available.size() < kMaxLearnersConsidered) available.push_back(&learner);
     const bool withZones = inSeveralZones(present, available);
     Margin best = marginOf(present, withZones);
-    std::optional<Trial> chosen;
-    for (Trial& trial : allTrials(present, available, maxVoters)) {
-        const Margin margin = marginOf(votersAfter(present, trial), withZones);
+    std::optional<CandidateChange> chosen;
+    for (CandidateChange& change : enumerateChanges(present, available, maxVoters)) {
+        const Margin margin = marginOf(votersAfter(present, change), withZones);
         if (!(best < margin)) continue;
         best = margin;
-        chosen = std::move(trial);
+        chosen = std::move(change);
     }
     if (!chosen) return std::nullopt;
     return MembershipChange{membersOf(chosen->added), membersOf(chosen->removed), reasonOf(*chosen)};
--- a/src/gateway/raft/membership_plan.h
+++ b/src/gateway/raft/membership_plan.h
@@ -1,5 +1,5 @@
-// Which machines should vote: the next change of membership, chosen from what the leader sees of voters and
-// learners. A pure function, so that every leader derives the same wish from the same view.
+// Chooses the next membership change from the leader's view of voters and learners. A pure function, so every
+// leader derives the same change from the same view.
 #pragma once
 
 #include <cstddef>
@@ -12,31 +12,33 @@
 
 namespace proto = gateway::proto;
 
-// A machine as the planner sees it. Learners are candidates only once they have caught up.
+// A machine as input to the planner. Learners become candidates only once they have caught up.
 struct MembershipCandidate {
-    proto::Member member;  // an empty zone counts as a zone of its own
-    bool silent = false;   // not heard of for so long that it is taken for lost
-    bool leaving = false;  // it says that it will end
+    proto::Member member;  // an empty zone counts as a separate zone
+    bool silent = false;   // without contact for so long that it is assumed lost
+    bool leaving = false;  // it has announced that it will terminate
     bool leader = false;
 
     [[nodiscard]] bool staying() const { return !silent && !leaving; }
 };
 
+// Why a membership change is proposed.
 enum class ChangeReason {
-    diskReplaced,  // a machine that lost its disk takes the place of its earlier identity
-    voterSilent,   // a silent voter gives its place up
-    voterLeaving,  // a voter that says it will end gives its place up
-    zoneSpread,    // the loss of one zone would have taken the majority
-    moreVoters,    // more losses are survived with more voters
+    diskReplaced,  // a machine that lost its disk replaces its earlier identity
+    voterSilent,   // a silent voter is removed
+    voterLeaving,  // a leaving voter is removed
+    zoneSpread,    // the loss of one zone would have removed the majority
+    moreVoters,    // additional voters tolerate more losses
 };
 
+// Members to add and to remove in one change.
 struct MembershipChange {
     std::vector<proto::Member> added, removed;
     ChangeReason reason = ChangeReason::moreVoters;
 };
 
-// The smallest change after which more is survived than before: first the loss of any one zone, then as many
-// machines as possible. Nothing where no change helps.
+// Returns the smallest change that improves fault tolerance: first against the loss of any one zone, then
+// against the loss of as many machines as possible. Returns nothing if no change improves it.
 std::optional<MembershipChange> planMembership(const std::vector<MembershipCandidate>& voters,
                                                const std::vector<MembershipCandidate>& learners,
                                                std::size_t maxVoters);
--- a/src/gateway/raft/reads.cpp
+++ b/src/gateway/raft/reads.cpp
@@ -1,23 +1,25 @@
-// Reads confirmed by a round of heartbeats (thesis, section 6.4), and the age of contact with a majority.
+// Linearizable reads confirmed by a round of heartbeats (Ongaro's thesis, section 6.4), and the time of the
+// last contact with a quorum.
 #include "gateway/raft/replica_state.h"
 
 namespace marldale::raft {
 
 void Replica::State::updateQuorumContact() {
-    const auto when = quorumValue([&](const Member& m) -> Micros {
-        if (sameMember(m, self)) return now;
-        const auto p = peers.find(keyOf(m));
-        return p == peers.end() ? -1 : p->second.confirmedAt;
+    const auto contactTime = quorumValue([&](const Member& voter) -> Micros {
+        if (sameMember(voter, self)) return now;
+        const auto peer = peers.find(memberKey(voter));
+        return peer == peers.end() ? -1 : peer->second.confirmedAt;
     });
-    confirmedAt = std::max(confirmedAt, when);
-    confirmedRound = std::max(confirmedRound, quorumValue([&](const Member& m) -> std::uint64_t {
-                                  if (sameMember(m, self)) return round;
-                                  const auto p = peers.find(keyOf(m));
-                                  return p == peers.end() ? 0 : p->second.round;
+    confirmedAt = std::max(confirmedAt, contactTime);
+    confirmedRound = std::max(confirmedRound, quorumValue([&](const Member& voter) -> std::uint64_t {
+                                  if (sameMember(voter, self)) return round;
+                                  const auto peer = peers.find(memberKey(voter));
+                                  return peer == peers.end() ? 0 : peer->second.round;
                               }));
-    if (commit >= startIndex) quorumContactAt = std::max(quorumContactAt, when);
-    while (!roundsBegun.empty() && now - roundsBegun.begin()->second > 2 * settings.electionMost)
-        roundsBegun.erase(roundsBegun.begin());
+    if (commit >= termStartIndex) quorumContactAt = std::max(quorumContactAt, contactTime);
+    while (!roundStartTimes.empty() &&
+           now - roundStartTimes.begin()->second > 2 * settings.maxElectionTimeout)
+        roundStartTimes.erase(roundStartTimes.begin());
 }
 
 void Replica::State::stepDownIfQuorumLost() {
@@ -28,14 +30,14 @@
     becomeFollower(term);
 }
 
-void Replica::State::endReads() {
-    if (reads.empty() || (commit < startIndex && !settings.faults.readsWithoutRound)) return;
+void Replica::State::completeReads() {
+    if (reads.empty() || (commit < termStartIndex && !settings.faults.readsWithoutRound)) return;
     updateQuorumContact();
-    const auto isConfirmed = [&](const Read& r) {
-        return r.round <= confirmedRound || settings.faults.readsWithoutRound;
+    const auto isConfirmed = [&](const PendingRead& read) {
+        return read.round <= confirmedRound || settings.faults.readsWithoutRound;
     };
-    for (const auto& r : reads)
-        if (isConfirmed(r)) out.reads.push_back({r.ticket, true, commit});
+    for (const auto& read : reads)
+        if (isConfirmed(read)) ready.reads.push_back({read.ticket, true, commit});
     reads.erase(std::remove_if(reads.begin(), reads.end(), isConfirmed), reads.end());
 }
 
--- a/src/gateway/raft/replica.cpp
+++ b/src/gateway/raft/replica.cpp
@@ -1,4 +1,4 @@
-// The public side of `Replica`: its start, and the calls from outside.
+// Public functions of `Replica`: construction, input events and status.
 #include "gateway/raft/replica_state.h"
 
 #include <cstdio>
@@ -12,82 +12,82 @@
 
 }  // namespace
 
-void setInvariantHandler(InvariantHandler breach) { invariantHandler = breach; }
+void setInvariantHandler(InvariantHandler handler) { invariantHandler = handler; }
 
-void check(bool holds, const char* sentence) {
+void check(bool holds, const char* message) {
     if (holds) return;
-    if (invariantHandler != nullptr) invariantHandler(sentence);
-    std::fprintf(stderr, "raft: %s\n", sentence);
+    if (invariantHandler != nullptr) invariantHandler(message);
+    std::fprintf(stderr, "raft: %s\n", message);
     std::abort();
 }
 
-Replica::State::State(Settings s, PersistentState stored, Micros at)
-    : settings(std::move(s)),
+Replica::State::State(Settings initialSettings, PersistentState stored, Micros startTime)
+    : settings(std::move(initialSettings)),
       self(stored.self),
-      now(at),
-      leaderContactAt(at),
-      lastJoinAt(at - kJoinInterval),
+      now(startTime),
+      leaderContactAt(startTime),
+      lastJoinAt(startTime - kJoinInterval),
       snapshotReceiver(settings.snapshotTransfer, settings.faults.transfer) {
     random =
         bytes::mixed(settings.seed ^ bytes::mixed(self.number() + std::hash<std::string>()(self.address())));
     term = stored.term;
     votedFor = std::move(stored.votedFor);
     snapshot = std::move(stored.snapshot);
-    base = snapshot.index();
+    baseIndex = snapshot.index();
     baseTerm = snapshot.term();
-    Config first{base, snapshot.members(), {}};
-    if (base == 0 && first.members.voters().empty() && self.number() == 0) {
-        for (const auto& address : settings.seeds) first.members.add_voters()->set_address(address);
-        // Written at once: a later start may be told other seeds.
-        *snapshot.mutable_members() = first.members;
+    Config initial{baseIndex, snapshot.members(), {}};
+    if (baseIndex == 0 && initial.members.voters().empty() && self.number() == 0) {
+        for (const auto& address : settings.seeds) initial.members.add_voters()->set_address(address);
+        // Persisted at once, because a later start may be configured with other seeds.
+        *snapshot.mutable_members() = initial.members;
         snapshotDirty = true;
     }
-    configs.push_back(std::move(first));
-    Term before = baseTerm;
+    configs.push_back(std::move(initial));
+    Term previousTerm = baseTerm;
     for (auto& entry : stored.entries) {
         check(entry.index() == lastIndex() + 1, "the stored entries have a gap");
-        check(entry.term() >= before, "the terms of the stored entries go back");
-        before = entry.term();
+        check(entry.term() >= previousTerm, "the terms of the stored entries decrease");
+        previousTerm = entry.term();
         pushEntry(std::move(entry));
     }
-    unwritten = lastIndex() + 1;
-    durable = inFlightLast = lastIndex();
-    if (before > term) {
-        term = before;
+    firstUnwritten = lastIndex() + 1;
+    durableIndex = inFlightLastIndex = lastIndex();
+    if (previousTerm > term) {
+        term = previousTerm;
         votedFor.reset();
-        hardDirty = true;
+        hardStateDirty = true;
     }
-    commit = applied = base;
-    if (base > 0) out.install = snapshot;
+    commit = applied = baseIndex;
+    if (baseIndex > 0) ready.install = snapshot;
     mark = drawRandom();
-    // Where all start at once nobody leads, and everyone waits for that: ask soon. Where somebody leads
-    // the asking is refused and disturbs nothing.
+    // The first election starts early: when all replicas start together there is no leader to wait for. If
+    // there is one, the pre-vote is refused and disrupts nothing.
     startedAt = now;
     electionDue = now + randomBetween(settings.heartbeat, 2 * settings.heartbeat);
 }
 
-void Replica::State::beginTransfer() {
-    if (role != Role::leader || transferStartedAt >= 0) return;
-    transferStartedAt = now;
-    transferSent = false;
+void Replica::State::beginLeadershipTransfer() {
+    if (role != Role::leader || leadershipTransferStartedAt >= 0) return;
+    leadershipTransferStartedAt = now;
+    leadershipTransferSent = false;
 }
 
-void Replica::State::receive(const RaftMessage& m) {
-    const auto kind = m.kind();
-    if (m.from().address() == self.address()) return;  // of its own, or of an earlier self
-    if (kind == RaftMessage::JOIN) return onJoinRequest(m);
-    if (!sameMember(m.to(), self) && !settings.faults.ignoresNumbers) return;
+void Replica::State::receive(const RaftMessage& message) {
+    const auto kind = message.kind();
+    if (message.from().address() == self.address()) return;  // from itself or an earlier identity
+    if (kind == RaftMessage::JOIN) return onJoinRequest(message);
+    if (!sameMember(message.to(), self) && !settings.faults.ignoresNumbers) return;
     switch (kind) {
-        case RaftMessage::PRE_VOTE: return onPreVoteRequest(m);
-        case RaftMessage::PRE_VOTE_ANSWER: return onPreVoteResponse(m);
-        case RaftMessage::VOTE: return onVoteRequest(m);
-        case RaftMessage::VOTE_ANSWER: return onVoteResponse(m);
+        case RaftMessage::PRE_VOTE: return onPreVoteRequest(message);
+        case RaftMessage::PRE_VOTE_ANSWER: return onPreVoteResponse(message);
+        case RaftMessage::VOTE: return onVoteRequest(message);
+        case RaftMessage::VOTE_ANSWER: return onVoteResponse(message);
         case RaftMessage::APPEND:
-        case RaftMessage::INSTALL: return onLeaderMessage(m);
+        case RaftMessage::INSTALL: return onLeaderMessage(message);
         case RaftMessage::APPEND_ANSWER:
-        case RaftMessage::INSTALL_ANSWER: return onAppendResponse(m);
+        case RaftMessage::INSTALL_ANSWER: return onAppendResponse(message);
         case RaftMessage::HAND_OVER:
-            if (m.term() == term && role != Role::leader && mayStartElection()) startElection(true);
+            if (message.term() == term && role != Role::leader && mayStartElection()) startElection(true);
             return;
         default: return;
     }
@@ -98,30 +98,30 @@
 Replica::~Replica() = default;
 
 void Replica::tick(Micros now) {
-    auto& s = *state_;
-    s.now = std::max(s.now, now);
-    if (s.role == Role::leader) {
-        if (s.now >= s.heartbeatDue) s.onHeartbeatDue();
+    auto& state = *state_;
+    state.now = std::max(state.now, now);
+    if (state.role == Role::leader) {
+        if (state.now >= state.heartbeatDue) state.onHeartbeatDue();
         return;
     }
-    if (s.now >= s.electionDue) {
-        if (!s.mayStartElection()) {
-            s.resetElectionTimer();
-        } else if (s.emitted != s.done) {
-            // Its vote couldn't be told now; where the disk hangs, asking on would only run up its term, and
-            // put an end to another's lead later.
-            s.electionDue = s.now + s.settings.heartbeat;
+    if (state.now >= state.electionDue) {
+        if (!state.mayStartElection()) {
+            state.resetElectionTimer();
+        } else if (state.lastEmittedWrite != state.lastDurableWrite) {
+            // Its own vote could not be persisted in time. With a stalled disk, further elections would only
+            // raise its term and later depose another leader.
+            state.electionDue = state.now + state.settings.heartbeat;
         } else {
-            s.startPreVote();
+            state.startPreVote();
         }
     }
-    if (s.role != Role::leader && s.now >= s.joinDue()) s.sendJoinRequests();
+    if (state.role != Role::leader && state.now >= state.joinDue()) state.sendJoinRequests();
 }
 
 Micros Replica::nextDue() const {
-    const auto& s = *state_;
-    if (s.role == Role::leader) return s.heartbeatDue;
-    return std::min(s.mayStartElection() ? s.electionDue : kNever, s.joinDue());
+    const auto& state = *state_;
+    if (state.role == Role::leader) return state.heartbeatDue;
+    return std::min(state.mayStartElection() ? state.electionDue : kNever, state.joinDue());
 }
 
 void Replica::receive(Micros now, const RaftMessage& message) {
@@ -130,80 +130,86 @@
 }
 
 void Replica::persisted(Micros now, std::uint64_t write) {
-    auto& s = *state_;
-    s.now = std::max(s.now, now);
-    check(write == s.done + 1 && write == s.emitted, "a write is done that wasn't next");
-    s.done = write;
-    // Not `max`: what was cut or replaced meanwhile has lowered it.
-    s.durable = std::max(s.durable, s.inFlightLast);
-    auto late = s.held.begin();
-    while (late != s.held.end() && late->first <= write) s.send(std::move((late++)->second));
-    s.held.erase(s.held.begin(), late);
-    if (s.role == Role::candidate && s.done >= s.voteWrite) {
-        s.votesGranted.insert(keyOf(s.self));
-        if (s.isQuorum(s.votesGranted)) s.becomeLeader();
+    auto& state = *state_;
+    state.now = std::max(state.now, now);
+    check(write == state.lastDurableWrite + 1 && write == state.lastEmittedWrite,
+          "a write completed out of order");
+    state.lastDurableWrite = write;
+    // `inFlightLastIndex` instead of the last index of the write: truncation or a snapshot may have lowered
+    // it.
+    state.durableIndex = std::max(state.durableIndex, state.inFlightLastIndex);
+    auto deferred = state.deferredMessages.begin();
+    while (deferred != state.deferredMessages.end() && deferred->first <= write)
+        state.send(std::move((deferred++)->second));
+    state.deferredMessages.erase(state.deferredMessages.begin(), deferred);
+    if (state.role == Role::candidate && state.lastDurableWrite >= state.voteWrite) {
+        state.votesGranted.insert(memberKey(state.self));
+        if (state.isQuorum(state.votesGranted)) state.becomeLeader();
     }
-    s.advanceCommit();
+    state.advanceCommit();
 }
 
 std::optional<Index> Replica::propose(Micros now, std::string data) {
-    auto& s = *state_;
-    s.now = std::max(s.now, now);
-    s.stepDownIfQuorumLost();
-    if (s.role != Role::leader || s.transferStartedAt >= 0) return std::nullopt;
-    if (s.lastIndex() - s.commit >= kMaxUncommittedEntries || s.uncommittedBytes > kMaxUncommittedBytes)
+    auto& state = *state_;
+    state.now = std::max(state.now, now);
+    state.stepDownIfQuorumLost();
+    if (state.role != Role::leader || state.leadershipTransferStartedAt >= 0) return std::nullopt;
+    if (state.lastIndex() - state.commit >= kMaxUncommittedEntries ||
+        state.uncommittedBytes > kMaxUncommittedBytes)
         return std::nullopt;
     Entry entry;
     entry.set_kind(Entry::CHANGE);
     entry.set_data(std::move(data));
-    return s.append(std::move(entry));
+    return state.append(std::move(entry));
 }
 
 void Replica::read(Micros now, std::uint64_t ticket) {
-    auto& s = *state_;
-    s.now = std::max(s.now, now);
-    s.stepDownIfQuorumLost();
-    if (s.role != Role::leader) {
-        s.out.reads.push_back({ticket, false, 0});
+    auto& state = *state_;
+    state.now = std::max(state.now, now);
+    state.stepDownIfQuorumLost();
+    if (state.role != Role::leader) {
+        state.ready.reads.push_back({ticket, false, 0});
         return;
     }
-    s.roundWanted = true;
-    s.reads.push_back({ticket, s.round + 1, s.now});
+    state.roundRequested = true;
+    state.reads.push_back({ticket, state.round + 1, state.now});
 }
 
 void Replica::transferLeadership(Micros now) {
     state_->now = std::max(state_->now, now);
-    state_->beginTransfer();
+    state_->beginLeadershipTransfer();
 }
 
 void Replica::leave(Micros now) {
-    auto& s = *state_;
-    s.now = std::max(s.now, now);
-    s.leaving = true;
-    if (s.leader && s.role == Role::follower) s.responseDue = true;
+    auto& state = *state_;
+    state.now = std::max(state.now, now);
+    state.leaving = true;
+    if (state.leader && state.role == Role::follower) state.responseDue = true;
 }
 
 bool Replica::released() const {
-    const auto& s = *state_;
-    if (!s.leaving || s.role == Role::leader) return false;
-    const bool settled = s.config().index <= s.commit && s.config().outgoing.voters().empty();
-    return s.released || (settled && !votes());
+    const auto& state = *state_;
+    if (!state.leaving || state.role == Role::leader) return false;
+    const bool settled = state.config().index <= state.commit && state.config().outgoing.voters().empty();
+    return state.released || (settled && !votes());
 }
 
 Ready Replica::take() {
-    auto& s = *state_;
-    if (s.role == Role::leader) {
-        s.reconcileMembership();
-        // First a learner takes its place: the next leader would have to hear of the learners anew.
-        if (s.leaving && s.membershipSettled) s.beginTransfer();
-        s.replicate();
-        s.endReads();
+    auto& state = *state_;
+    if (state.role == Role::leader) {
+        state.reconcileMembership();
+        // Transfers leadership only after a learner has replaced this voter: the next leader would first have
+        // to rediscover the learners.
+        if (state.leaving && state.membershipSettled) state.beginLeadershipTransfer();
+        state.replicate();
+        state.completeReads();
     }
-    s.snapshotReceiver.discardThrough(s.commit);
-    s.respondToLeader();
-    s.emitWrite();
-    for (; s.applied < s.commit; ++s.applied) s.out.committed.push_back(s.entryAt(s.applied + 1));
-    return std::exchange(s.out, {});
+    state.snapshotReceiver.discardThrough(state.commit);
+    state.respondToLeader();
+    state.emitWrite();
+    for (; state.applied < state.commit; ++state.applied)
+        state.ready.committed.push_back(state.entryAt(state.applied + 1));
+    return std::exchange(state.ready, {});
 }
 
 bool Replica::leads() const { return state_->role == Role::leader; }
@@ -215,31 +221,34 @@
 bool Replica::votes() const { return contains(state_->config().members, state_->self); }
 
 Micros Replica::quorumContactAge(Micros now) const {
-    const auto& s = *state_;
-    if (s.role == Role::leader && s.commit >= s.startIndex && s.config().members.voters_size() == 1 &&
-        votes())
+    const auto& state = *state_;
+    if (state.role == Role::leader && state.commit >= state.termStartIndex &&
+        state.config().members.voters_size() == 1 && votes())
         return 0;
-    return s.quorumContactAt < 0 ? -1 : std::max<Micros>(0, now - s.quorumContactAt);
+    return state.quorumContactAt < 0 ? -1 : std::max<Micros>(0, now - state.quorumContactAt);
 }
 
 Status Replica::status(Micros now) const {
-    const auto& s = *state_;
+    const auto& state = *state_;
     Status status;
-    status.self = s.self;
+    status.self = state.self;
     status.leads = leads();
-    status.leader = s.leader;
-    status.term = s.term;
-    status.committed = s.commit;
-    status.last = s.lastIndex();
+    status.leader = state.leader;
+    status.term = state.term;
+    status.committed = state.commit;
+    status.last = state.lastIndex();
     status.quorumContactAge = quorumContactAge(now);
     for (const auto& voter : members().voters()) status.voters.push_back(voter);
-    for (const auto& [key, p] : s.peers) {
-        const bool isVoter = contains(members(), p.member);
-        status.peers.push_back({p.member, isVoter, s.caughtUp(p), p.leaving, p.match, now - p.lastContactAt});
+    for (const auto& [key, peer] : state.peers) {
+        const bool isVoter = contains(members(), peer.member);
+        status.peers.push_back({peer.member, isVoter, state.caughtUp(peer), peer.leaving, peer.matchIndex,
+                                now - peer.lastContactAt});
     }
     return status;
 }
 
-void Replica::contacts(std::vector<std::string> addresses) { state_->contactList = std::move(addresses); }
+void Replica::contacts(std::vector<std::string> addresses) {
+    state_->contactAddresses = std::move(addresses);
+}
 
 }  // namespace marldale::raft
--- a/src/gateway/raft/replica.h
+++ b/src/gateway/raft/replica.h
@@ -1,7 +1,7 @@
-// One member of the replicated log: election, append, commit, membership, snapshots, reads. After Raft
-// (Ongaro, Ousterhout: "In Search of an Understandable Consensus Algorithm", 2014; Ongaro's thesis: pre-vote,
-// check quorum, one member at a time). No I/O: time, messages and what the disk has done come in as values,
-// and what is to be done goes out as `Ready`.
+// A member of a replicated log: elections, replication, commit, membership changes, snapshots and reads. It
+// implements Raft (Ongaro, Ousterhout: "In Search of an Understandable Consensus Algorithm", 2014) with
+// pre-vote and check quorum of Ongaro's thesis. No I/O: time, messages and completed disk writes are inputs,
+// and the resulting work is returned as `Ready`.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,8 @@
 using Term = std::uint64_t;
 using Index = std::uint64_t;
 
-// What a disk keeps: all of it is back after a restart, or the machine comes back as a stranger.
+// The persistent state of a replica. After a restart the disk returns all of it; a machine that lost its disk
+// joins as a new member.
 struct PersistentState {
     proto::Member self;  // its number is drawn when the disk is first written
     Term term = 0;
@@ -30,124 +31,132 @@
     std::vector<proto::Entry> entries;  // after the snapshot, without gaps
 };
 
-// Planted by tests, to show that their world finds them. All off in service.
+// Faults that tests inject to show that the simulation detects them. All off in production.
 struct Faults {
-    bool answersVoteUnsynced = false;
-    bool answersAppendUnsynced = false;
-    bool countsOwnUnsynced = false;  // a leader's own entries count before its disk has them
-    bool readsWithoutRound = false;  // without a round
-    bool commitsOldTerms = false;    // entries of earlier terms by counting
+    bool answersVoteUnsynced = false;    // responds to a vote request before the vote is durable
+    bool answersAppendUnsynced = false;  // confirms entries before they are durable
+    bool countsOwnUnsynced = false;      // a leader counts its own entries before they are durable
+    bool readsWithoutRound = false;      // confirms reads without a round of heartbeats
+    bool commitsOldTerms = false;        // commits entries of earlier terms by counting replicas
     bool votesForShorterLogs = false;
-    bool changesAtOnce = false;            // members change though the last change isn't committed
-    bool forgetsOutgoing = false;          // the old members' majority isn't asked for
-    bool ignoresNumbers = false;           // a member is told by its address alone
+    bool changesAtOnce = false;            // changes members before the previous change is committed
+    bool forgetsOutgoing = false;          // does not require the majority of the previous members
+    bool ignoresNumbers = false;           // identifies a member by its address alone
     bool installsOlderSnapshots = false;   // over a newer state
-    bool losesEntryAfterSnapshot = false;  // on the disk of a follower that installs one
-    bool trimsUnderFollowers = false;      // the log that a follower needs next isn't kept for it
+    bool losesEntryAfterSnapshot = false;  // a follower does not write the entry after an installed snapshot
+    bool trimsUnderFollowers = false;      // the leader does not retain entries that followers need next
     SnapshotTransferFaults transfer;
-    bool trustsArrival = false;         // `quorumContactAge` counts from when word arrived
-    bool keepsSilentVoter = false;      // a silent voter is never replaced
-    bool ignoresZones = false;          // voters are chosen as if each machine were a zone of its own
-    bool leavesWithOnlyCopy = false;    // a leaving member is released at once
-    bool replacesWithoutLimit = false;  // silent voters are replaced as often as links come and go
-    bool forgetsOthersChanges = false;  // a new leader begins the limit of changes anew
+    bool trustsArrival = false;         // `quorumContactAge` counts from the arrival of a message
+    bool keepsSilentVoter = false;      // never replaces a silent voter
+    bool ignoresZones = false;          // chooses voters as if each machine were in a separate zone
+    bool leavesWithOnlyCopy = false;    // releases a leaving member at once
+    bool replacesWithoutLimit = false;  // replaces silent voters without a limit on membership changes
+    bool forgetsOthersChanges = false;  // a new leader ignores the membership changes of previous leaders
 };
 
+// Configuration of a replica.
 struct Settings {
-    std::vector<std::string>
-        seeds;                  // addresses (inside) of the first voters; used only where `self.number` is 0
-    std::uint64_t seed = 1;     // of election times
-    std::size_t maxVoters = 7;  // an odd number of voters is aimed at, up to this; the others learn
-    Micros heartbeat = 150000;
-    Micros electionLeast = 600000, electionMost = 1200000;
-    // The successor of a lost machine votes within this span of its own start (`bounds.catch_up`).
+    // Internal addresses of the first voters; used only if `self.number` is 0.
+    std::vector<std::string> seeds;
+    std::uint64_t seed = 1;  // of the random election timeouts
+    // Upper limit for the number of voters, which is kept odd if possible; further members are learners.
+    std::size_t maxVoters = 7;
+    Micros heartbeat = 150000;  // interval
+    Micros minElectionTimeout = 600000, maxElectionTimeout = 1200000;
+    // The replacement of a lost machine becomes a voter within this time of its own start
+    // (`bounds.catch_up`).
     Micros catchUp = 4000000;
-    std::size_t batchBytes = std::size_t{256} << 10U;  // of entries in one message; one entry may be larger
+    std::size_t maxBatchBytes = std::size_t{256} << 10U;  // of entries per message; one entry may be larger
     SnapshotTransferSettings snapshotTransfer;
-    // Kept in memory of the log before a snapshot, beyond the size of the snapshot, for followers that are
-    // catching up. A follower whose link carries more than the changes' bytes a second finds the entry after
-    // its snapshot.
+    // Log retained in memory before a snapshot, beyond the size of the snapshot, for followers that are
+    // catching up. A follower whose link carries more than the log grows per second then finds the entry
+    // after its snapshot.
     std::size_t catchUpBytes = std::size_t{16} << 20U;
     Faults faults;
 };
 
-// What must never be, in words. By default written to standard error, and the process ends; tests put a
-// function here that throws.
-using InvariantHandler = void (*)(const char* sentence);
-void setInvariantHandler(InvariantHandler breach);
+// Called with a description of a violated invariant. By default it is written to standard error and the
+// process aborts; tests install a handler that throws.
+using InvariantHandler = void (*)(const char* message);
+// Installs a handler, or the default with nullptr.
+void setInvariantHandler(InvariantHandler handler);
 
-// One sync of the disk: all of it, or nothing. Writes are done in order; `Replica::persisted` tells the last
-// done.
+// One atomic, synced write to disk. Writes are performed in order; the caller reports each completed one to
+// `Replica::persisted`.
 struct Write {
     std::uint64_t number = 0;
-    bool hasHardState = false;  // term and vote are to be written
+    bool hasHardState = false;  // `term` and `votedFor` are to be written
     Term term = 0;
     std::optional<proto::Member> votedFor;
-    std::optional<Index> truncateFrom;        // drop stored entries from this index on, before appending
-    std::vector<proto::Entry> entries;        // to append
-    std::optional<proto::Snapshot> snapshot;  // replaces all up to its index (entries beyond it stay only
-                                              // where `truncateFrom` says nothing)
+    std::optional<Index> truncateFrom;  // drop stored entries from this index on before appending
+    std::vector<proto::Entry> entries;  // to append
+    // Replaces everything up to its index. Later entries remain only if `truncateFrom` is not set.
+    std::optional<proto::Snapshot> snapshot;
 };
 
-// What happened, for the log output of the process.
+// Kinds of events that the process logs.
 enum class EventKind {
     electionStarted,
     electionWon,
-    leadershipLost,  // to another term, or handed over
-    quorumLost,      // this leader stepped down by itself: no majority answered
+    leadershipLost,  // to another term, or transferred
+    quorumLost,      // the leader stepped down because no majority responded
     membershipProposed,
-    membershipCommitted,  // told by every replica that learns of it
+    membershipCommitted,  // reported by every replica that learns of it
     learnerCaughtUp,
     snapshotInstalled,
 };
 
+// An event for the process log.
 struct Event {
     EventKind kind;
     Term term = 0;
-    Index index = 0;                            // of the entry or snapshot, where there is one
+    Index index = 0;                            // of the entry or snapshot, if any
     std::optional<proto::Member> member;        // learnerCaughtUp
-    std::vector<proto::Member> added, removed;  // changes of membership
+    std::vector<proto::Member> added, removed;  // membership changes
     std::optional<ChangeReason> reason;         // membershipProposed
 };
 
-// A machine as the leader sees it.
+// Another machine as seen by the leader.
 struct PeerStatus {
     proto::Member member;
     bool votes = false, caughtUp = false, leaving = false;
-    Index match = 0;
-    Micros contactAge = 0;  // since it was last heard
+    Index match = 0;        // the last log index known to be durable there
+    Micros contactAge = 0;  // since its last message
 };
 
-// What a replica knows of itself and of the others.
+// A replica's view of itself and of the other members.
 struct Status {
     proto::Member self;
     bool leads = false;
     std::optional<proto::Member> leader;
     Term term = 0;
-    Index committed = 0, last = 0;
+    Index committed = 0, last = 0;  // log indices
     Micros quorumContactAge = -1;
     std::vector<proto::Member> voters;
-    std::vector<PeerStatus> peers;  // only where this leads: voters and learners but itself
+    std::vector<PeerStatus> peers;  // filled by the leader only: all other voters and learners
 };
 
+// The result of a read that was requested with `Replica::read`.
 struct ReadResult {
     std::uint64_t ticket = 0;
-    bool confirmed =
-        false;  // what is applied up to `index` is the newest; otherwise this is no leader (any more)
+    bool confirmed = false;  // the state applied up to `index` is current; false: this replica does not lead
     Index index = 0;
 };
 
-// In this order: messages may go at once; writes are to be synced in order; what is committed is to be
-// applied. Whatever must be durable before it is said is held back inside until `persisted`.
+// Work for the caller. Messages may be sent at once, writes are to be synced in order and committed entries
+// are to be applied, in this order. Messages that require durability are held back until `persisted` is
+// called.
 struct Ready {
     std::vector<proto::RaftMessage> messages;
     std::vector<Write> writes;
-    std::optional<proto::Snapshot> install;  // the state machine begins anew from this, before `committed`
+    std::optional<proto::Snapshot>
+        install;  // replaces the state machine's state before `committed` is applied
     std::vector<proto::Entry> committed;
     std::vector<ReadResult> reads;
     std::vector<Event> events;
 };
 
+// A member of a replicated log.
 class Replica {
 public:
     Replica(Settings settings, PersistentState stored, Micros now);
@@ -155,38 +164,45 @@
     Replica(const Replica&) = delete;
     Replica& operator=(const Replica&) = delete;
 
-    // Everything below may leave something in `take`.
+    // Each of the following functions may produce work that `take` returns.
     void tick(Micros now);
-    [[nodiscard]] Micros nextDue() const;  // when `tick` is to be called at the latest
+    [[nodiscard]] Micros nextDue() const;  // the latest time for the next `tick`
     void receive(Micros now, const proto::RaftMessage& message);
     void persisted(Micros now, std::uint64_t write);
-    // Nothing where this does not lead. That the entry is committed is told by `Ready::committed` with this
-    // index and the term of now; another term there means that it was lost.
+    // Appends an entry and returns its index, or nothing if this replica does not lead. The entry is
+    // committed once `Ready::committed` contains this index with the current term; an entry of another term
+    // at this index means that the proposal was lost.
     [[nodiscard]] std::optional<Index> propose(Micros now, std::string data);
-    void read(Micros now, std::uint64_t ticket);  // its end comes in `Ready::reads`, within a few heartbeats
-    void compact(Micros now, Index through, std::string state);  // of the state machine after `through`
-    void transferLeadership(Micros now);  // the lead goes to the voter that is furthest, where this leads
-    // This process will end (SIGTERM; whether its machine returns isn't known). It hands the lead over,
-    // starts no election, and says in every answer that it leaves, so that any leader, also the next one,
-    // gives its place to a learner that has caught up.
+    // Requests a read. Its result appears in `Ready::reads` within a few heartbeats.
+    void read(Micros now, std::uint64_t ticket);
+    // Compacts the log through an index; `state` is the state machine's state after that entry.
+    void compact(Micros now, Index through, std::string state);
+    // Transfers leadership to the most advanced voter. Does nothing unless this replica leads.
+    void transferLeadership(Micros now);
+    // Prepares the end of this process (SIGTERM; whether the machine returns is unknown). The replica
+    // transfers leadership, starts no elections and announces in every response that it is leaving, so any
+    // leader, including the next one, replaces it by a learner that has caught up.
     void leave(Micros now);
-    // After `leave`: others hold all that this holds, and it votes no more where a learner could take its
-    // place. Where that can't be reached (no majority remains) it stays false: end at the limit of time.
+    // After `leave`: whether the process may terminate, because other members hold all its entries and, if a
+    // learner could replace it, it is no longer a voter. Stays false if that cannot be reached (no majority
+    // remains); the caller then terminates at its own time limit.
     [[nodiscard]] bool released() const;
+    // Returns the accumulated work and clears it.
     [[nodiscard]] Ready take();
 
     [[nodiscard]] bool leads() const;
-    [[nodiscard]] std::optional<proto::Member> leader() const;  // as far as known, in this term
+    [[nodiscard]] std::optional<proto::Member> leader() const;  // of this term, if known
     [[nodiscard]] Term term() const;
     [[nodiscard]] Index committed() const;
     [[nodiscard]] const proto::Members& members() const;
     [[nodiscard]] Status status(Micros now) const;
     [[nodiscard]] const proto::Member& self() const;
-    [[nodiscard]] bool votes() const;  // this is a voter
-    // So long ago this was sure to hear of every change that is acknowledged (a leader: a majority confirmed
-    // it; others: the leader's last heartbeat, plus what it said of itself); -1: never yet.
+    [[nodiscard]] bool votes() const;  // whether this replica is a voter
+    // Age of the last time at which this replica was certain to learn of every acknowledged change; -1:
+    // never. For a leader this is its last confirmation by a majority; for a follower it is derived from the
+    // leader's last heartbeat and the age that the leader reported.
     [[nodiscard]] Micros quorumContactAge(Micros now) const;
-    // Where a machine that is no voter sends JOIN when it knows no leader: any of these addresses.
+    // Sets the addresses to which a machine that is not a voter sends JOIN while it knows no leader.
     void contacts(std::vector<std::string> addresses);
 
 private:
--- a/src/gateway/raft/replica_state.h
+++ b/src/gateway/raft/replica_state.h
@@ -1,5 +1,5 @@
-// Inside of `Replica`: its whole state, and the functions that its parts (election, log, replication,
-// membership, reads, snapshots) offer each other. Not for other packages.
+// Internals of `Replica`: its state and the functions shared by its parts (election, log, replication,
+// membership, reads, snapshots). Not for use by other packages.
 #pragma once
 
 #include <algorithm>
@@ -20,68 +20,72 @@
 using proto::Member;
 using proto::Members;
 using proto::RaftMessage;
-using Key = std::pair<std::string, std::uint64_t>;
+using MemberKey = std::pair<std::string, std::uint64_t>;  // address and number
 
 inline constexpr Micros kNever = std::numeric_limits<Micros>::max();
 inline constexpr Micros kJoinInterval = 300000;
-inline constexpr Micros kIsolatedAfter =
-    3000000;  // then a voter asks to join too: it may have been taken out unheard
-inline constexpr Micros kStartupSpan = 2000000;  // after a start votes are asked for more often
-inline constexpr Micros kMarkLifetime = 5000000;
-inline constexpr Micros kCatchUpTimeout = 10000000;  // of silence: then nothing is kept for a follower
+// A voter without contact for this long sends join requests too: it may have been removed without learning of
+// it.
+inline constexpr Micros kIsolationTimeout = 3000000;
+inline constexpr Micros kStartupSpan = 2000000;   // after a start, elections are attempted more often
+inline constexpr Micros kMarkLifetime = 5000000;  // how long sent marks are remembered
+// Silence after which nothing is retained for a follower.
+inline constexpr Micros kCatchUpTimeout = 10000000;
 inline constexpr std::size_t kJoinFanout = 3;
 inline constexpr std::size_t kMaxLearners = 64;
 inline constexpr std::size_t kMaxVoters = 64;
 inline constexpr std::size_t kMaxInFlightBytes = 1U << 20U;
-inline constexpr std::size_t kMaxUncommittedEntries = 4096;  // entries; beyond, proposals are refused
+inline constexpr std::size_t kMaxUncommittedEntries = 4096;  // proposals are refused beyond this
 inline constexpr std::size_t kMaxUncommittedBytes = 8U << 20U;
-// Kept in memory before a snapshot, for followers that are slow.
-inline constexpr Index kKeptBehind = 64;  // entries
-inline constexpr std::size_t kKeptBytes = 1U << 20U;
+// Entries retained in memory before a snapshot for slow followers.
+inline constexpr Index kRetainedEntries = 64;
+inline constexpr std::size_t kRetainedBytes = 1U << 20U;
 
-// Ends the process (or throws, in tests) where an invariant is broken.
-void check(bool holds, const char* sentence);
+// Reports a violated invariant to the invariant handler, then aborts the process (in tests the handler
+// throws).
+void check(bool holds, const char* message);
 
-inline Key keyOf(const Member& m) { return {m.address(), m.number()}; }
+inline MemberKey memberKey(const Member& member) { return {member.address(), member.number()}; }
 inline bool sameMember(const Member& a, const Member& b) {
     return a.number() == b.number() && a.address() == b.address();
 }
-inline bool contains(const Members& all, const Member& m) {
+inline bool contains(const Members& all, const Member& member) {
     return std::any_of(all.voters().begin(), all.voters().end(),
-                       [&](const Member& v) { return sameMember(v, m); });
+                       [&](const Member& voter) { return sameMember(voter, member); });
 }
 inline const Member* voterAtAddress(const Members& all, const std::string& address) {
-    const auto at = std::find_if(all.voters().begin(), all.voters().end(),
-                                 [&](const Member& v) { return v.address() == address; });
-    return at == all.voters().end() ? nullptr : &*at;
+    const auto found = std::find_if(all.voters().begin(), all.voters().end(),
+                                    [&](const Member& voter) { return voter.address() == address; });
+    return found == all.voters().end() ? nullptr : &*found;
 }
 
 enum class Role { follower, preCandidate, candidate, leader };
+// How the leader sends to a peer: one probe at a time, a stream of entries, or a snapshot.
 enum class Progress { probe, replicate, snapshot };
 
-// What holds from one index on.
+// A membership configuration and the index from which it applies.
 struct Config {
     Index index = 0;
     Members members;
-    Members outgoing;
+    Members outgoing;  // the previous members, whose majority is also required; empty: none
 };
 
-// Another machine, as its leader sees it.
+// Another machine as seen by the leader.
 struct Peer {
     Member member;
     Progress progress = Progress::probe;
     bool probeSent = false;  // one probe at a time
-    Index next = 1, match = 0;
+    Index nextIndex = 1, matchIndex = 0;
     Index sentCommit = 0;
     Micros lastContactAt = 0;
-    Micros confirmedAt = -1;  // when the last round that it answered was begun
+    Micros confirmedAt = -1;  // start time of the last round that it responded to
     std::uint64_t round = 0;
-    std::uint64_t trackedSinceRound = 0;  // the round at which it became known
-    std::uint64_t mark = 0;
-    Micros markAt = 0;
-    bool leaving = false;           // as it last said
-    bool caughtUpReported = false;  // as an event
-    std::deque<std::pair<Index, std::size_t>> inFlight;
+    std::uint64_t trackedSinceRound = 0;  // the round in which it was added
+    std::uint64_t mark = 0;               // of its last response, echoed in the next message to it
+    Micros markReceivedAt = 0;
+    bool leaving = false;                                // as it last reported
+    bool caughtUpReported = false;                       // whether the event was reported
+    std::deque<std::pair<Index, std::size_t>> inFlight;  // last index and bytes of each append message
     std::size_t inFlightBytes = 0;
     SnapshotSender snapshotSender;  // active in `Progress::snapshot`
 
@@ -91,112 +95,117 @@
             inFlight.pop_front();
         }
     }
-    void probe(Index from) {
+    void startProbing(Index from) {
         progress = Progress::probe;
         probeSent = false;
-        next = from;
+        nextIndex = from;
         inFlight.clear();
         inFlightBytes = 0;
         snapshotSender.end();
     }
 };
 
-struct Read {
+// A read that waits for a round of heartbeats to be confirmed.
+struct PendingRead {
     std::uint64_t ticket = 0;
-    std::uint64_t round = 0;
-    Micros asked = 0;
+    std::uint64_t round = 0;  // the first round that confirms it
+    Micros requestedAt = 0;
 };
 
-// NOLINTNEXTLINE(clang-analyzer-optin.performance.Padding): fields stand by concern, and there is one of it
+// NOLINTNEXTLINE(clang-analyzer-optin.performance.Padding): fields are grouped by concern; one instance
 struct Replica::State {
     Settings settings;
     Member self;
     Micros now;
     std::uint64_t random;
 
-    // ---- as it is written, or will be ----
+    // ---- persistent state, including changes not yet written ----
     Term term = 0;
     std::optional<Member> votedFor;
     proto::Snapshot snapshot;
-    std::deque<Entry> log;  // from `base` + 1 on; reaches back before the snapshot
-    Index base = 0;
+    std::deque<Entry> log;  // from `baseIndex` + 1 on; may reach back before the snapshot
+    Index baseIndex = 0;
     Term baseTerm = 0;
-    std::vector<Config> configs;  // by index; the last one is in effect
-
-    // ---- the disk ----
-    std::uint64_t emitted = 0, done = 0;  // writes
-    bool hardDirty = false, snapshotDirty = false;
-    std::optional<Index> cut;
-    Index unwritten = 1;     // the first entry that no write holds yet
-    Index inFlightLast = 0;  // the last entry of the write under way that still stands
-    Index durable = 0;
-    std::uint64_t hardNumber = 0;  // of the write that holds term and vote
-    std::vector<std::pair<std::uint64_t, RaftMessage>> held;
+    std::vector<Config> configs;  // ordered by index; the last one is in effect
+
+    // ---- disk writes ----
+    std::uint64_t lastEmittedWrite = 0, lastDurableWrite = 0;  // write numbers
+    bool hardStateDirty = false, snapshotDirty = false;
+    std::optional<Index> truncateFrom;  // for the next write
+    Index firstUnwritten = 1;           // the first entry not included in any write
+    Index inFlightLastIndex = 0;        // the last entry of the write in progress that is still in the log
+    Index durableIndex = 0;             // the last durable entry
+    std::uint64_t hardStateWrite = 0;   // number of the last write that contains term and vote
+    // Messages that wait until the write with the given number is durable.
+    std::vector<std::pair<std::uint64_t, RaftMessage>> deferredMessages;
 
     // ---- any role ----
     Role role = Role::follower;
     Index commit = 0, applied = 0;
     std::optional<Member> leader;
-    std::optional<Member> lastLeader;  // the last one heard, at `leaderContactAt`
+    std::optional<Member> lastLeader;  // the last known leader, heard from at `leaderContactAt`
     Micros leaderContactAt;
     Micros electionDue = kNever;
     Micros startedAt = 0;
     Micros quorumContactAt = -1;
     Micros lastJoinAt;
-    std::vector<std::string> contactList;
-    std::size_t contactTurn = 0;
-    Term ledTerm = 0;
-    Ready out;
+    std::vector<std::string> contactAddresses;
+    std::size_t nextContact = 0;
+    Term lastLedTerm = 0;  // the last term in which this replica led
+    Ready ready;           // the work that `take` returns
     bool leaving = false, released = false;
 
     // ---- follower ----
-    Index matched = 0;  // as the leader of this term has it
-    std::uint64_t receivedRound = 0, answeredRound = 0;
-    Index answeredMatch = 0, acceptedPrev = 0;
-    bool responseDue = false, rejectedLast = false;
-    std::optional<RaftMessage> rejection;
+    Index matchedIndex = 0;  // the last entry known to match the log of this term's leader
+    std::uint64_t receivedRound = 0, respondedRound = 0;
+    Index respondedMatch = 0, acceptedPrevIndex = 0;
+    bool responseDue = false, lastAppendRejected = false;
+    std::optional<RaftMessage> pendingRejection;
+    // Each response carries a mark. The leader echoes it, which bounds the age of the leader's message.
     std::uint64_t mark = 0;
-    std::deque<std::pair<std::uint64_t, Micros>> marks;
+    std::deque<std::pair<std::uint64_t, Micros>> sentMarks;  // with the times of sending
     SnapshotReceiver snapshotReceiver;
-    std::optional<proto::SnapshotProgress> snapshotProgress;  // to be told to the leader
+    std::optional<proto::SnapshotProgress> snapshotProgress;  // to be reported to the leader
 
     // ---- candidate ----
-    std::set<Key> votesGranted;
-    std::uint64_t voteWrite = 0;
+    std::set<MemberKey> votesGranted;
+    std::uint64_t voteWrite = 0;  // number of the write that contains the vote for itself
 
     // ---- leader ----
-    std::map<Key, Peer> peers;
-    Index startIndex = 0;
-    std::uint64_t round = 0;
-    bool roundWanted = false;
-    std::map<std::uint64_t, Micros> roundsBegun;
-    Micros confirmedAt = 0;
-    std::uint64_t confirmedRound = 0;
+    std::map<MemberKey, Peer> peers;
+    Index termStartIndex = 0;  // of the first entry of this leader's term
+    std::uint64_t round = 0;   // of heartbeats
+    bool roundRequested = false;
+    std::map<std::uint64_t, Micros> roundStartTimes;
+    Micros confirmedAt = 0;            // start time of the last round that a quorum confirmed
+    std::uint64_t confirmedRound = 0;  // the last round that a quorum confirmed
     Micros heartbeatDue = kNever;
-    std::vector<Read> reads;
-    Micros transferStartedAt = -1;
-    bool transferSent = false;
-    // When changes of membership were proposed, by this replica's clock; followers have them from their
-    // leader, so that a new leader goes on with the same limit.
-    std::deque<Micros> recentChanges;
-    bool membershipSettled = false;  // leader: no change is under way or wished
+    std::vector<PendingRead> reads;
+    Micros leadershipTransferStartedAt = -1;
+    bool leadershipTransferSent = false;
+    // When membership changes were proposed, by this replica's clock. Followers copy the list from their
+    // leader, so a new leader continues with the same limit.
+    std::deque<Micros> recentChangeTimes;
+    bool membershipSettled = false;  // leader: no membership change is in progress or wanted
     std::size_t uncommittedBytes = 0;
-    std::weak_ptr<const EncodedSnapshot> encodedSnapshot;  // of `snapshot`, while any transfer uses it
+    std::weak_ptr<const EncodedSnapshot> encodedSnapshot;  // of `snapshot`, while a transfer uses it
     std::uint64_t chunkSequence = 0;
 
-    State(Settings s, PersistentState stored, Micros at);
+    State(Settings initialSettings, PersistentState stored, Micros startTime);
 
     // ---- log ----
-    [[nodiscard]] Index lastIndex() const { return base + log.size(); }
-    [[nodiscard]] const Entry& entryAt(Index index) const { return log[index - base - 1]; }
-    [[nodiscard]] Term termAt(Index index) const { return index == base ? baseTerm : entryAt(index).term(); }
+    [[nodiscard]] Index lastIndex() const { return baseIndex + log.size(); }
+    [[nodiscard]] const Entry& entryAt(Index index) const { return log[index - baseIndex - 1]; }
+    [[nodiscard]] Term termAt(Index index) const {
+        return index == baseIndex ? baseTerm : entryAt(index).term();
+    }
     [[nodiscard]] Term lastTerm() const { return termAt(lastIndex()); }
 
-    // Loss of contact after which a voter is taken for lost. What remains of `catchUp` covers an election and
-    // the two entries of the change.
+    // Time without contact after which a voter is assumed lost. The rest of `catchUp` covers an election and
+    // the two entries of the membership change.
     [[nodiscard]] Micros silenceLimit() const {
-        return std::clamp(settings.catchUp - 2 * settings.electionMost, settings.electionMost,
-                          2 * settings.electionMost);
+        return std::clamp(settings.catchUp - 2 * settings.maxElectionTimeout, settings.maxElectionTimeout,
+                          2 * settings.maxElectionTimeout);
     }
     void pushEntry(Entry entry);
     void truncate(Index from);
@@ -212,35 +221,35 @@
         if (leaving && config().members.voters_size() > 1) return false;
         return contains(config().members, self) || (joint() && contains(config().outgoing, self));
     }
-    // The highest value that a majority of the members has reached, and one of those going out while they
-    // count.
+    // The highest value reached by a majority of the members and, during a joint change, also by a majority
+    // of the outgoing members.
     template <typename Value>
     [[nodiscard]] auto quorumValue(Value value) const {
         using Number = decltype(value(self));
-        const auto one = [&](const Members& all) {
+        const auto majorityValue = [&](const Members& all) {
             std::array<Number, kMaxVoters> values;
             const auto count = static_cast<std::size_t>(all.voters_size());
-            check(count <= values.size(), "there are more voters than there may ever be");
+            check(count <= values.size(), "the number of voters exceeds the limit");
             if (count == 0) return std::numeric_limits<Number>::lowest();
             std::transform(all.voters().begin(), all.voters().end(), values.begin(), value);
             const auto middle = values.begin() + count / 2;
             std::nth_element(values.begin(), middle, values.begin() + count, std::greater<>());
             return *middle;
         };
-        const Number members = one(config().members);
-        return joint() ? std::min(members, one(config().outgoing)) : members;
+        const Number members = majorityValue(config().members);
+        return joint() ? std::min(members, majorityValue(config().outgoing)) : members;
     }
-    [[nodiscard]] bool isQuorum(const std::set<Key>& who) const {
-        return quorumValue([&](const Member& m) {
+    [[nodiscard]] bool isQuorum(const std::set<MemberKey>& granted) const {
+        return quorumValue([&](const Member& member) {
                    if (settings.faults.ignoresNumbers) {
-                       const auto near = who.lower_bound({m.address(), 0});
-                       return near != who.end() && near->first == m.address() ? 1 : 0;
+                       const auto candidate = granted.lower_bound({member.address(), 0});
+                       return candidate != granted.end() && candidate->first == member.address() ? 1 : 0;
                    }
-                   return who.count(keyOf(m)) != 0 ? 1 : 0;
+                   return granted.count(memberKey(member)) != 0 ? 1 : 0;
                }) == 1;
     }
 
-    // ---- random, timers ----
+    // ---- random numbers and timers ----
     std::uint64_t drawRandom() { return bytes::mixed(random += 0x9e3779b97f4a7c15ULL); }
     Micros randomBetween(Micros least, Micros most) {
         return least + static_cast<Micros>(drawRandom() %
@@ -250,16 +259,22 @@
     [[nodiscard]] Micros joinDue() const;
     [[nodiscard]] bool hasLiveLeader() const;
 
-    // ---- writes, and what waits for them ----
-    [[nodiscard]] bool dirty() const { return hardDirty || snapshotDirty || cut || unwritten <= lastIndex(); }
-    [[nodiscard]] bool hardDurable() const { return !hardDirty && done >= hardNumber; }
-    [[nodiscard]] std::uint64_t nextDurableWrite() const { return dirty() ? emitted + 1 : emitted; }
+    // ---- writes and the messages that depend on them ----
+    [[nodiscard]] bool hasUnwrittenState() const {
+        return hardStateDirty || snapshotDirty || truncateFrom || firstUnwritten <= lastIndex();
+    }
+    [[nodiscard]] bool hardStateDurable() const {
+        return !hardStateDirty && lastDurableWrite >= hardStateWrite;
+    }
+    [[nodiscard]] std::uint64_t nextDurableWrite() const {
+        return hasUnwrittenState() ? lastEmittedWrite + 1 : lastEmittedWrite;
+    }
 
-    RaftMessage message(RaftMessage::Kind kind, const Member& to) const;
-    void report(Event event) { out.events.push_back(std::move(event)); }
+    RaftMessage makeMessage(RaftMessage::Kind kind, const Member& to) const;
+    void report(Event event) { ready.events.push_back(std::move(event)); }
     void reportCommittedChanges(Index from, Index through);
-    void send(RaftMessage m) { out.messages.push_back(std::move(m)); }
-    void sendWhenDurable(RaftMessage m);
+    void send(RaftMessage message) { ready.messages.push_back(std::move(message)); }
+    void sendWhenDurable(RaftMessage message);
 
     void emitWrite();
 
@@ -268,77 +283,79 @@
 
     void startPreVote();
     void startElection(bool handedOver);
-    void requestVotes(RaftMessage::Kind kind, Term inTerm, bool handedOver);
+    void requestVotes(RaftMessage::Kind kind, Term electionTerm, bool handedOver);
     void becomeLeader();
-    void trackVoters(Index next);
-    Peer& trackPeer(const Member& m, Index next);
+    void trackVoters(Index nextIndex);
+    Peer& trackPeer(const Member& member, Index nextIndex);
 
     Index append(Entry entry);
 
     void advanceCommit();
 
     void updateQuorumContact();
-    [[nodiscard]] bool quorumContactLost() const { return now - confirmedAt >= settings.electionMost; }
-    // A leader that was frozen, or whose loop is late, steps down before it takes anything more.
+    [[nodiscard]] bool quorumContactLost() const { return now - confirmedAt >= settings.maxElectionTimeout; }
+    // Makes a leader that was suspended or delayed step down before it accepts further requests.
     void stepDownIfQuorumLost();
 
     void onHeartbeatDue();
 
-    // ---- leader: members ----
-    [[nodiscard]] bool recentlyConfirmed(const Peer& p) const {
-        return now - p.lastContactAt < settings.electionLeast && p.confirmedAt >= 0 &&
-               p.round > p.trackedSinceRound;
+    // ---- leader: membership ----
+    [[nodiscard]] bool recentlyConfirmed(const Peer& peer) const {
+        return now - peer.lastContactAt < settings.minElectionTimeout && peer.confirmedAt >= 0 &&
+               peer.round > peer.trackedSinceRound;
+    }
+    [[nodiscard]] bool caughtUp(const Peer& peer) const {
+        return recentlyConfirmed(peer) && peer.matchIndex >= commit;
     }
-    [[nodiscard]] bool caughtUp(const Peer& p) const { return recentlyConfirmed(p) && p.match >= commit; }
 
     void reconcileMembership();
     [[nodiscard]] std::optional<MembershipChange> replacementOfLostDisk() const;
     [[nodiscard]] std::optional<MembershipChange> wantedChange() const;
     [[nodiscard]] MembershipCandidate candidateOf(const Member& voter) const;
-    [[nodiscard]] bool reachable(const MembershipChange& change) const;
-    [[nodiscard]] bool inDoubt(const std::vector<MembershipCandidate>& voters) const;
-    [[nodiscard]] bool answers(const Member& member) const;
+    [[nodiscard]] bool canCommit(const MembershipChange& change) const;
+    [[nodiscard]] bool hasUnresponsiveVoter(const std::vector<MembershipCandidate>& voters) const;
+    [[nodiscard]] bool responds(const Member& member) const;
     [[nodiscard]] bool withinChangeLimit() const;
-    // The span in which changes of membership are limited: a minority lost one after another.
+    // The time window of the limit on membership changes: that in which a minority may be lost one by one.
     [[nodiscard]] Micros changeLimitSpan() const { return minorityOfVoters() * settings.catchUp; }
     [[nodiscard]] int minorityOfVoters() const {
         return std::max(1, (config().members.voters_size() - 1) / 2);
     }
-    void stampMembershipChanges(RaftMessage& m) const;
-    void learnMembershipChanges(const RaftMessage& m);
+    void setMembershipChangeAges(RaftMessage& message) const;
+    void adoptMembershipChangeAges(const RaftMessage& message);
     void reportCaughtUpLearners();
     [[nodiscard]] bool mayRelease(const Peer& leavingPeer) const;
     void forgetReplacedPeers();
     void proposeMembership(const MembershipChange& change);
 
-    void stampLeaderState(RaftMessage& m, Peer& p);
-    void sendAppend(Peer& p, bool entries);
+    void setLeaderFields(RaftMessage& message, Peer& peer);
+    void sendAppend(Peer& peer, bool withEntries);
     void replicate();
-    void beginTransfer();
-    void endReads();
+    void beginLeadershipTransfer();
+    void completeReads();
 
-    void receive(const RaftMessage& m);
-    [[nodiscard]] bool upToDate(const RaftMessage& m) const;
-    void onPreVoteRequest(const RaftMessage& m);
-    void onPreVoteResponse(const RaftMessage& m);
-    void onVoteRequest(const RaftMessage& m);
-    void onVoteResponse(const RaftMessage& m);
-    void onJoinRequest(const RaftMessage& m);
+    void receive(const RaftMessage& message);
+    [[nodiscard]] bool isLogUpToDate(const RaftMessage& request) const;
+    void onPreVoteRequest(const RaftMessage& request);
+    void onPreVoteResponse(const RaftMessage& response);
+    void onVoteRequest(const RaftMessage& request);
+    void onVoteResponse(const RaftMessage& response);
+    void onJoinRequest(const RaftMessage& request);
 
-    void onLeaderMessage(const RaftMessage& m);
-    void rejectAppend(const RaftMessage& m, Index hint);
-    void onAppend(const RaftMessage& m);
+    void onLeaderMessage(const RaftMessage& message);
+    void rejectAppend(const RaftMessage& append, Index hint);
+    void onAppend(const RaftMessage& append);
 
     // ---- snapshots ----
-    void beginSnapshot(Peer& p);
-    void sendSnapshot(Peer& p, bool heartbeat);
-    void sendChunk(Peer& p, proto::SnapshotChunk chunk);
-    void onSnapshotChunk(const RaftMessage& m);
-    void installSnapshot(const proto::Snapshot& s);
+    void beginSnapshot(Peer& peer);
+    void sendSnapshot(Peer& peer, bool heartbeat);
+    void sendChunk(Peer& peer, proto::SnapshotChunk chunk);
+    void onSnapshotChunk(const RaftMessage& message);
+    void installSnapshot(const proto::Snapshot& received);
     [[nodiscard]] Index firstNeededByFollowers() const;
     void trimLog(Index through);
 
-    void onAppendResponse(const RaftMessage& m);
+    void onAppendResponse(const RaftMessage& response);
 
     void sendJoinRequests();
     void sendJoinRequest(const std::string& address);
--- a/src/gateway/raft/replication.cpp
+++ b/src/gateway/raft/replication.cpp
@@ -1,272 +1,288 @@
-// Entries and heartbeats from the leader to each follower, and the follower's responses (Raft, section 5.3).
+// Entries and heartbeats from the leader to each follower, and the followers' responses (Raft paper, section
+// 5.3).
 #include "gateway/raft/replica_state.h"
 
 namespace marldale::raft {
 
 void Replica::State::advanceCommit() {
     if (role != Role::leader) return;
-    const Index index = quorumValue([&](const Member& m) -> Index {
-        if (sameMember(m, self)) return settings.faults.countsOwnUnsynced ? lastIndex() : durable;
-        const auto p = peers.find(keyOf(m));
-        return p == peers.end() ? 0 : p->second.match;
+    const Index index = quorumValue([&](const Member& voter) -> Index {
+        if (sameMember(voter, self)) return settings.faults.countsOwnUnsynced ? lastIndex() : durableIndex;
+        const auto peer = peers.find(memberKey(voter));
+        return peer == peers.end() ? 0 : peer->second.matchIndex;
     });
-    if (index <= commit || index <= base) return;
+    if (index <= commit || index <= baseIndex) return;
     if (termAt(index) != term && !settings.faults.commitsOldTerms) return;
-    for (Index i = commit + 1; i <= index; ++i)
-        uncommittedBytes -= std::min(uncommittedBytes, entryAt(i).data().size());
+    for (Index uncommitted = commit + 1; uncommitted <= index; ++uncommitted)
+        uncommittedBytes -= std::min(uncommittedBytes, entryAt(uncommitted).data().size());
     commitTo(index);
-    // Its own going out is through: the others choose.
+    // The change that removes this leader is committed, so another voter takes over.
     if (config().index <= commit && config().outgoing.voters().empty() && !contains(config().members, self))
-        beginTransfer();
+        beginLeadershipTransfer();
 }
 
 void Replica::State::onHeartbeatDue() {
     updateQuorumContact();
     if (quorumContactLost()) return stepDownIfQuorumLost();
     heartbeatDue = now + settings.heartbeat;
-    roundWanted = true;
+    roundRequested = true;
     forgetReplacedPeers();
-    for (auto& [key, p] : peers)
-        if (p.progress == Progress::replicate && now - p.lastContactAt >= settings.electionLeast)
-            p.probe(p.match + 1);
-    if (transferStartedAt >= 0 && now - transferStartedAt > settings.electionMost) transferStartedAt = -1;
-    for (auto& r : reads) {
-        if (now - r.asked < settings.electionMost) continue;
-        out.reads.push_back({r.ticket, false, 0});
-        r.ticket = 0;
-        r.round = 0;
+    for (auto& [key, peer] : peers)
+        if (peer.progress == Progress::replicate && now - peer.lastContactAt >= settings.minElectionTimeout)
+            peer.startProbing(peer.matchIndex + 1);
+    if (leadershipTransferStartedAt >= 0 && now - leadershipTransferStartedAt > settings.maxElectionTimeout)
+        leadershipTransferStartedAt = -1;
+    for (auto& read : reads) {
+        if (now - read.requestedAt < settings.maxElectionTimeout) continue;
+        ready.reads.push_back({read.ticket, false, 0});
+        read.ticket = 0;
+        read.round = 0;
     }
-    reads.erase(std::remove_if(reads.begin(), reads.end(), [](const Read& r) { return r.round == 0; }),
-                reads.end());
-    if (transferStartedAt >= 0 && config().index <= commit && !contains(config().members, self) &&
-        transferSent)
+    reads.erase(
+        std::remove_if(reads.begin(), reads.end(), [](const PendingRead& read) { return read.round == 0; }),
+        reads.end());
+    if (leadershipTransferStartedAt >= 0 && config().index <= commit && !contains(config().members, self) &&
+        leadershipTransferSent)
         return becomeFollower(term);
 }
 
-void Replica::State::stampLeaderState(RaftMessage& m, Peer& p) {
-    m.set_commit(commit);
-    m.set_round(round);
-    m.set_echo(p.mark);
-    m.set_echo_held(now - p.markAt);
-    m.set_quorum_age(commit >= startIndex ? now - confirmedAt : -1);
-    m.set_released(p.leaving && mayRelease(p));
-    stampMembershipChanges(m);
-    p.sentCommit = commit;
+void Replica::State::setLeaderFields(RaftMessage& message, Peer& peer) {
+    message.set_commit(commit);
+    message.set_round(round);
+    message.set_echo(peer.mark);
+    message.set_echo_held(now - peer.markReceivedAt);
+    message.set_quorum_age(commit >= termStartIndex ? now - confirmedAt : -1);
+    message.set_released(peer.leaving && mayRelease(peer));
+    setMembershipChangeAges(message);
+    peer.sentCommit = commit;
 }
 
-void Replica::State::sendAppend(Peer& p, bool entries) {
-    auto m = message(RaftMessage::APPEND, p.member);
-    if (p.next - 1 < base) {  // what it has is not known, and it says nothing: no more than a heartbeat
-        entries = false;
-        m.set_last_index(snapshot.index());
-        m.set_last_term(snapshot.term());
+void Replica::State::sendAppend(Peer& peer, bool withEntries) {
+    auto append = makeMessage(RaftMessage::APPEND, peer.member);
+    if (peer.nextIndex - 1 < baseIndex) {
+        // The preceding entry was compacted and the peer is silent: sends a heartbeat without entries.
+        withEntries = false;
+        append.set_last_index(snapshot.index());
+        append.set_last_term(snapshot.term());
     } else {
-        m.set_last_index(p.next - 1);
-        m.set_last_term(termAt(p.next - 1));
+        append.set_last_index(peer.nextIndex - 1);
+        append.set_last_term(termAt(peer.nextIndex - 1));
     }
     std::size_t size = 0;
-    if (entries) {
-        Index i = p.next;
-        for (; i <= lastIndex() && (size == 0 || size + entryAt(i).data().size() <= settings.batchBytes);
-             ++i) {
-            *m.add_entries() = entryAt(i);
-            size += entryAt(i).data().size() + 64;
+    if (withEntries) {
+        Index index = peer.nextIndex;
+        for (; index <= lastIndex() &&
+               (size == 0 || size + entryAt(index).data().size() <= settings.maxBatchBytes);
+             ++index) {
+            *append.add_entries() = entryAt(index);
+            size += entryAt(index).data().size() + 64;
         }
-        if (p.progress == Progress::replicate && i > p.next) {
-            p.next = i;
-            p.inFlight.emplace_back(i - 1, size);
-            p.inFlightBytes += size;
+        if (peer.progress == Progress::replicate && index > peer.nextIndex) {
+            peer.nextIndex = index;
+            peer.inFlight.emplace_back(index - 1, size);
+            peer.inFlightBytes += size;
         }
     }
-    if (p.progress == Progress::probe) p.probeSent = true;
-    stampLeaderState(m, p);
-    send(std::move(m));
+    if (peer.progress == Progress::probe) peer.probeSent = true;
+    setLeaderFields(append, peer);
+    send(std::move(append));
 }
 
 void Replica::State::replicate() {
-    const bool all = std::exchange(roundWanted, false);
-    if (all) {
+    const bool startsRound = std::exchange(roundRequested, false);
+    if (startsRound) {
         ++round;
-        roundsBegun[round] = now;
+        roundStartTimes[round] = now;
     }
-    for (auto& [key, p] : peers) {
-        const bool alive = now - p.lastContactAt < settings.electionLeast;
-        bool sent = false;
-        if (p.progress != Progress::snapshot && p.next - 1 < base) {
-            if (alive) {
-                beginSnapshot(p);
-            } else if (p.progress == Progress::replicate) {
-                p.probe(p.next);
+    for (auto& [key, peer] : peers) {
+        const bool isAlive = now - peer.lastContactAt < settings.minElectionTimeout;
+        bool wasSent = false;
+        if (peer.progress != Progress::snapshot && peer.nextIndex - 1 < baseIndex) {
+            if (isAlive) {
+                beginSnapshot(peer);
+            } else if (peer.progress == Progress::replicate) {
+                peer.startProbing(peer.nextIndex);
             }
         }
-        if (p.progress == Progress::replicate) {
-            while (p.next <= lastIndex() && p.inFlightBytes < kMaxInFlightBytes &&
-                   p.progress == Progress::replicate) {
-                sendAppend(p, true);
-                sent = true;
+        if (peer.progress == Progress::replicate) {
+            while (peer.nextIndex <= lastIndex() && peer.inFlightBytes < kMaxInFlightBytes &&
+                   peer.progress == Progress::replicate) {
+                sendAppend(peer, true);
+                wasSent = true;
             }
-            if (!sent && (all || (p.sentCommit < commit && alive))) sendAppend(p, false);
-        } else if (p.progress == Progress::probe) {
-            if (all || !p.probeSent) sendAppend(p, alive);
+            if (!wasSent && (startsRound || (peer.sentCommit < commit && isAlive))) sendAppend(peer, false);
+        } else if (peer.progress == Progress::probe) {
+            if (startsRound || !peer.probeSent) sendAppend(peer, isAlive);
         } else {
-            sendSnapshot(p, all);
+            sendSnapshot(peer, startsRound);
         }
     }
-    if (transferStartedAt >= 0 && !transferSent) {
-        const Peer* best = nullptr;
-        for (const auto& [key, p] : peers)
-            if (contains(config().members, p.member) && !p.leaving &&
-                now - p.lastContactAt < settings.electionLeast && (best == nullptr || p.match > best->match))
-                best = &p;
-        if (best != nullptr &&
-            (best->match == lastIndex() || now - transferStartedAt >= 2 * settings.heartbeat)) {
-            transferSent = true;
-            send(message(RaftMessage::HAND_OVER, best->member));
+    if (leadershipTransferStartedAt >= 0 && !leadershipTransferSent) {
+        const Peer* successor = nullptr;
+        for (const auto& [key, peer] : peers)
+            if (contains(config().members, peer.member) && !peer.leaving &&
+                now - peer.lastContactAt < settings.minElectionTimeout &&
+                (successor == nullptr || peer.matchIndex > successor->matchIndex))
+                successor = &peer;
+        if (successor != nullptr && (successor->matchIndex == lastIndex() ||
+                                     now - leadershipTransferStartedAt >= 2 * settings.heartbeat)) {
+            leadershipTransferSent = true;
+            send(makeMessage(RaftMessage::HAND_OVER, successor->member));
         }
     }
 }
 
-void Replica::State::onLeaderMessage(const RaftMessage& m) {
-    if (m.term() < term) {
-        auto a = message(RaftMessage::APPEND_ANSWER, m.from());
-        a.set_last_index(m.last_index());
-        return sendWhenDurable(std::move(a));
+void Replica::State::onLeaderMessage(const RaftMessage& message) {
+    if (message.term() < term) {
+        auto response = makeMessage(RaftMessage::APPEND_ANSWER, message.from());
+        response.set_last_index(message.last_index());
+        return sendWhenDurable(std::move(response));
     }
-    check(m.term() > term || ledTerm < m.term(), "another one leads in the term that this led in");
-    if (m.term() > term || role != Role::follower) becomeFollower(m.term());
-    check(!leader || sameMember(*leader, m.from()), "two lead in one term");
-    leader = lastLeader = m.from();
+    check(message.term() > term || lastLedTerm < message.term(),
+          "another leader in a term that this replica led");
+    if (message.term() > term || role != Role::follower) becomeFollower(message.term());
+    check(!leader || sameMember(*leader, message.from()), "two leaders in one term");
+    leader = lastLeader = message.from();
     leaderContactAt = now;
     resetElectionTimer();
-    receivedRound = std::max(receivedRound, m.round());
-    released = leaving && m.released();
-    learnMembershipChanges(m);
-    if (m.kind() == RaftMessage::INSTALL) {
-        onSnapshotChunk(m);
+    receivedRound = std::max(receivedRound, message.round());
+    released = leaving && message.released();
+    adoptMembershipChangeAges(message);
+    if (message.kind() == RaftMessage::INSTALL) {
+        onSnapshotChunk(message);
     } else {
-        onAppend(m);
+        onAppend(message);
     }
-    if (receivedRound > answeredRound) responseDue = true;
-    if (m.quorum_age() >= 0 && commit >= m.commit()) {
-        if (settings.faults.trustsArrival) quorumContactAt = std::max(quorumContactAt, now - m.quorum_age());
-        const auto at =
-            std::find_if(marks.begin(), marks.end(), [&](const auto& k) { return k.first == m.echo(); });
-        // It was sent no earlier than this.
-        if (at != marks.end())
-            quorumContactAt = std::max(quorumContactAt, at->second + m.echo_held() - m.quorum_age());
+    if (receivedRound > respondedRound) responseDue = true;
+    if (message.quorum_age() >= 0 && commit >= message.commit()) {
+        if (settings.faults.trustsArrival)
+            quorumContactAt = std::max(quorumContactAt, now - message.quorum_age());
+        const auto sentMark = std::find_if(sentMarks.begin(), sentMarks.end(),
+                                           [&](const auto& sent) { return sent.first == message.echo(); });
+        // The leader sent its message no earlier than `echo_held` after the echoed mark was sent.
+        if (sentMark != sentMarks.end())
+            quorumContactAt =
+                std::max(quorumContactAt, sentMark->second + message.echo_held() - message.quorum_age());
     }
 }
 
-void Replica::State::rejectAppend(const RaftMessage& m, Index hint) {
-    auto a = message(RaftMessage::APPEND_ANSWER, m.from());
+void Replica::State::rejectAppend(const RaftMessage& append, Index hint) {
+    auto response = makeMessage(RaftMessage::APPEND_ANSWER, append.from());
     hint = std::max(hint, commit);
-    a.set_last_index(m.last_index());
-    a.set_match(hint);
-    a.set_last_term(termAt(hint));
-    rejection = std::move(a);
-    rejectedLast = true;
+    response.set_last_index(append.last_index());
+    response.set_match(hint);
+    response.set_last_term(termAt(hint));
+    pendingRejection = std::move(response);
+    lastAppendRejected = true;
 }
 
-void Replica::State::onAppend(const RaftMessage& m) {
-    const Index prev = m.last_index();
-    if (prev > lastIndex()) return rejectAppend(m, lastIndex());
-    if (prev >= base && termAt(prev) != m.last_term()) {
-        check(prev > commit, "a leader's log differs in what is committed");
-        Index hint = prev - 1;
-        while (hint > commit && termAt(hint) > m.last_term()) --hint;
-        return rejectAppend(m, hint);
+void Replica::State::onAppend(const RaftMessage& append) {
+    const Index prevIndex = append.last_index();
+    if (prevIndex > lastIndex()) return rejectAppend(append, lastIndex());
+    if (prevIndex >= baseIndex && termAt(prevIndex) != append.last_term()) {
+        check(prevIndex > commit, "the leader's log differs in committed entries");
+        Index hint = prevIndex - 1;
+        while (hint > commit && termAt(hint) > append.last_term()) --hint;
+        return rejectAppend(append, hint);
     }
-    Index index = prev;
-    for (const auto& entry : m.entries()) {
+    Index index = prevIndex;
+    for (const auto& entry : append.entries()) {
         ++index;
-        check(entry.index() == index, "an append has a gap");
-        if (index <= base) continue;
+        check(entry.index() == index, "the entries of an append message have a gap");
+        if (index <= baseIndex) continue;
         if (index <= lastIndex()) {
             if (termAt(index) == entry.term()) continue;
             truncate(index);
         }
-        check(entry.term() >= lastTerm(), "the terms in the log would go back");
+        check(entry.term() >= lastTerm(), "the terms in the log would decrease");
         pushEntry(entry);
     }
-    rejection.reset();
-    acceptedPrev = prev;
-    matched = std::max(matched, index);
-    const Index through = std::min(m.commit(), matched);
-    if (through > commit) commitTo(through);
-    if (std::exchange(rejectedLast, false) || (!m.entries().empty() && durable >= index)) responseDue = true;
+    pendingRejection.reset();
+    acceptedPrevIndex = prevIndex;
+    matchedIndex = std::max(matchedIndex, index);
+    const Index commitIndex = std::min(append.commit(), matchedIndex);
+    if (commitIndex > commit) commitTo(commitIndex);
+    if (std::exchange(lastAppendRejected, false) || (!append.entries().empty() && durableIndex >= index))
+        responseDue = true;
 }
 
-void Replica::State::onAppendResponse(const RaftMessage& m) {
-    const auto at = peers.find(keyOf(m.from()));
-    if (at == peers.end()) return;
-    if (m.term() > term) return becomeFollower(m.term());
-    if (m.term() < term || role != Role::leader) return;
-    Peer& p = at->second;
-    p.lastContactAt = now;
-    p.leaving = m.leaving();
-    p.member.set_zone(m.from().zone());
-    p.mark = m.mark();
-    p.markAt = now;
-    check(m.round() <= round, "a round is answered that never was");
-    if (m.round() > p.round) {
-        p.round = m.round();
-        const auto begun = roundsBegun.find(p.round);
-        if (begun != roundsBegun.end()) p.confirmedAt = std::max(p.confirmedAt, begun->second);
+void Replica::State::onAppendResponse(const RaftMessage& response) {
+    const auto found = peers.find(memberKey(response.from()));
+    if (found == peers.end()) return;
+    if (response.term() > term) return becomeFollower(response.term());
+    if (response.term() < term || role != Role::leader) return;
+    Peer& peer = found->second;
+    peer.lastContactAt = now;
+    peer.leaving = response.leaving();
+    peer.member.set_zone(response.from().zone());
+    peer.mark = response.mark();
+    peer.markReceivedAt = now;
+    check(response.round() <= round, "a response names a round that was never started");
+    if (response.round() > peer.round) {
+        peer.round = response.round();
+        const auto roundStart = roundStartTimes.find(peer.round);
+        if (roundStart != roundStartTimes.end())
+            peer.confirmedAt = std::max(peer.confirmedAt, roundStart->second);
         updateQuorumContact();
     }
-    if (!m.granted()) {
-        if (m.last_index() < p.match) return;          // late: it has more by now
-        if (p.progress == Progress::snapshot) return;  // said before that began
-        if (p.progress == Progress::probe && m.last_index() != p.next - 1 && p.next - 1 >= base) return;
-        Index hint = std::min(m.match(), lastIndex());
-        while (hint > p.match && hint > base && termAt(hint) > m.last_term()) --hint;
-        p.probe(std::max(hint, p.match) + 1);
+    if (!response.granted()) {
+        if (response.last_index() < peer.matchIndex) return;  // outdated: the peer has confirmed more since
+        if (peer.progress == Progress::snapshot) return;      // sent before the transfer began
+        if (peer.progress == Progress::probe && response.last_index() != peer.nextIndex - 1 &&
+            peer.nextIndex - 1 >= baseIndex)
+            return;
+        Index hint = std::min(response.match(), lastIndex());
+        while (hint > peer.matchIndex && hint > baseIndex && termAt(hint) > response.last_term()) --hint;
+        peer.startProbing(std::max(hint, peer.matchIndex) + 1);
         return;
     }
-    check(m.match() <= lastIndex(), "more is said to be on a disk than there is");
-    const bool further = m.match() > p.match;
-    if (further) p.match = m.match();
-    p.acknowledge(p.match);
-    if (p.progress == Progress::snapshot) {
-        if (m.has_progress()) p.snapshotSender.acknowledged(m.progress());
-        if (p.match >= p.snapshotSender.index()) {
-            p.probe(p.match + 1);
-            p.progress = Progress::replicate;
+    check(response.match() <= lastIndex(), "a response confirms entries beyond the last log index");
+    const bool advanced = response.match() > peer.matchIndex;
+    if (advanced) peer.matchIndex = response.match();
+    peer.acknowledge(peer.matchIndex);
+    if (peer.progress == Progress::snapshot) {
+        if (response.has_progress()) peer.snapshotSender.acknowledged(response.progress());
+        if (peer.matchIndex >= peer.snapshotSender.index()) {
+            peer.startProbing(peer.matchIndex + 1);
+            peer.progress = Progress::replicate;
         }
     }
-    if (p.progress == Progress::probe && (p.match >= p.next - 1 || m.last_index() >= p.next - 1)) {
-        p.progress = Progress::replicate;
-        p.probeSent = false;
+    if (peer.progress == Progress::probe &&
+        (peer.matchIndex >= peer.nextIndex - 1 || response.last_index() >= peer.nextIndex - 1)) {
+        peer.progress = Progress::replicate;
+        peer.probeSent = false;
     }
-    p.next = std::max(p.next, p.match + 1);
-    if (further) advanceCommit();
+    peer.nextIndex = std::max(peer.nextIndex, peer.matchIndex + 1);
+    if (advanced) advanceCommit();
 }
 
 void Replica::State::respondToLeader() {
-    if (!leader || role != Role::follower || !hardDurable()) return;
-    const Index match = settings.faults.answersAppendUnsynced ? matched : std::min(matched, durable);
-    if (match > answeredMatch) responseDue = true;
-    if (!responseDue && !rejection) return;
-    RaftMessage a;
-    if (rejection) {
-        a = std::move(*rejection);
-        rejection.reset();
+    if (!leader || role != Role::follower || !hardStateDurable()) return;
+    const Index matchIndex =
+        settings.faults.answersAppendUnsynced ? matchedIndex : std::min(matchedIndex, durableIndex);
+    if (matchIndex > respondedMatch) responseDue = true;
+    if (!responseDue && !pendingRejection) return;
+    RaftMessage response;
+    if (pendingRejection) {
+        response = std::move(*pendingRejection);
+        pendingRejection.reset();
     } else {
-        a = message(snapshotProgress ? RaftMessage::INSTALL_ANSWER : RaftMessage::APPEND_ANSWER, *leader);
-        if (snapshotProgress) *a.mutable_progress() = *std::exchange(snapshotProgress, std::nullopt);
-        a.set_granted(true);
-        a.set_match(match);
-        a.set_last_index(acceptedPrev);
-        answeredMatch = match;
+        response =
+            makeMessage(snapshotProgress ? RaftMessage::INSTALL_ANSWER : RaftMessage::APPEND_ANSWER, *leader);
+        if (snapshotProgress) *response.mutable_progress() = *std::exchange(snapshotProgress, std::nullopt);
+        response.set_granted(true);
+        response.set_match(matchIndex);
+        response.set_last_index(acceptedPrevIndex);
+        respondedMatch = matchIndex;
     }
     responseDue = false;
-    a.set_round(receivedRound);
-    a.set_leaving(leaving);
-    answeredRound = receivedRound;
-    a.set_mark(++mark);
-    marks.emplace_back(mark, now);
-    while (now - marks.front().second > kMarkLifetime) marks.pop_front();
-    send(std::move(a));
+    response.set_round(receivedRound);
+    response.set_leaving(leaving);
+    respondedRound = receivedRound;
+    response.set_mark(++mark);
+    sentMarks.emplace_back(mark, now);
+    while (now - sentMarks.front().second > kMarkLifetime) sentMarks.pop_front();
+    send(std::move(response));
 }
 
 }  // namespace marldale::raft
--- a/src/gateway/raft/snapshots.cpp
+++ b/src/gateway/raft/snapshots.cpp
@@ -1,75 +1,76 @@
-// Snapshots: taken of the own state machine, and installed from a leader (Raft, section 7).
+// Snapshots: sending them to followers, installing those from a leader, and compacting the log (Raft paper,
+// section 7).
 #include "gateway/raft/replica_state.h"
 
 namespace marldale::raft {
 
 // ---- leader ----
 
-void Replica::State::beginSnapshot(Peer& p) {
+void Replica::State::beginSnapshot(Peer& peer) {
     auto encoded = encodedSnapshot.lock();
     if (encoded == nullptr || encoded->identity.index() != snapshot.index()) {
         encoded = encodeSnapshot(snapshot);
         encodedSnapshot = encoded;
     }
-    p.probe(p.next);
-    p.progress = Progress::snapshot;
-    p.snapshotSender = SnapshotSender(settings.snapshotTransfer, settings.faults.transfer);
-    p.snapshotSender.begin(std::move(encoded));
+    peer.startProbing(peer.nextIndex);
+    peer.progress = Progress::snapshot;
+    peer.snapshotSender = SnapshotSender(settings.snapshotTransfer, settings.faults.transfer);
+    peer.snapshotSender.begin(std::move(encoded));
 }
 
-// What is under way is finished even where there is a newer snapshot: the log goes on from it. Only when the
-// log doesn't reach back to it any more, the newest one takes its place.
-void Replica::State::sendSnapshot(Peer& p, bool heartbeat) {
-    if (now - p.lastContactAt > kCatchUpTimeout) {
-        p.probe(p.match + 1);
-        if (heartbeat) sendAppend(p, false);
+// A transfer in progress is completed even if a newer snapshot exists, because the log continues from it. It
+// is replaced by the newest snapshot only when the log no longer reaches back to it.
+void Replica::State::sendSnapshot(Peer& peer, bool heartbeat) {
+    if (now - peer.lastContactAt > kCatchUpTimeout) {
+        peer.startProbing(peer.matchIndex + 1);
+        if (heartbeat) sendAppend(peer, false);
         return;
     }
-    if (p.snapshotSender.index() < base) beginSnapshot(p);
-    if (heartbeat) p.snapshotSender.heartbeat();
+    if (peer.snapshotSender.index() < baseIndex) beginSnapshot(peer);
+    if (heartbeat) peer.snapshotSender.heartbeat();
     bool sent = false;
-    while (auto chunk = p.snapshotSender.nextChunk(chunkSequence + 1)) {
+    while (auto chunk = peer.snapshotSender.nextChunk(chunkSequence + 1)) {
         ++chunkSequence;
-        sendChunk(p, std::move(*chunk));
+        sendChunk(peer, std::move(*chunk));
         sent = true;
     }
-    if (heartbeat && !sent) sendChunk(p, p.snapshotSender.probe(++chunkSequence));
+    if (heartbeat && !sent) sendChunk(peer, peer.snapshotSender.probe(++chunkSequence));
 }
 
-void Replica::State::sendChunk(Peer& p, proto::SnapshotChunk chunk) {
-    auto m = message(RaftMessage::INSTALL, p.member);
-    *m.mutable_chunk() = std::move(chunk);
-    stampLeaderState(m, p);
-    send(std::move(m));
+void Replica::State::sendChunk(Peer& peer, proto::SnapshotChunk chunk) {
+    auto install = makeMessage(RaftMessage::INSTALL, peer.member);
+    *install.mutable_chunk() = std::move(chunk);
+    setLeaderFields(install, peer);
+    send(std::move(install));
 }
 
-// The first entry that some follower which is there still has to be sent.
+// The first entry that some reachable follower still needs.
 Index Replica::State::firstNeededByFollowers() const {
     Index first = std::numeric_limits<Index>::max();
     if (role != Role::leader || settings.faults.trimsUnderFollowers) return first;
-    for (const auto& [key, p] : peers) {
-        if (now - p.lastContactAt > kCatchUpTimeout) continue;
-        switch (p.progress) {
-            case Progress::snapshot: first = std::min(first, p.snapshotSender.index() + 1); break;
-            case Progress::replicate: first = std::min(first, p.match + 1); break;
-            case Progress::probe: first = std::min(first, p.next); break;
+    for (const auto& [key, peer] : peers) {
+        if (now - peer.lastContactAt > kCatchUpTimeout) continue;
+        switch (peer.progress) {
+            case Progress::snapshot: first = std::min(first, peer.snapshotSender.index() + 1); break;
+            case Progress::replicate: first = std::min(first, peer.matchIndex + 1); break;
+            case Progress::probe: first = std::min(first, peer.nextIndex); break;
         }
     }
     return first;
 }
 
-// Drops entries that a snapshot through `through` covers, but for some that followers may need.
+// Drops entries covered by a snapshot through index `through`, except some that followers may need.
 void Replica::State::trimLog(Index through) {
     const Index needed = firstNeededByFollowers();
-    const std::size_t neededBytesMost = settings.catchUpBytes + snapshot.data().size();
+    const std::size_t maxNeededBytes = settings.catchUpBytes + snapshot.data().size();
     std::size_t kept = 0;
-    for (Index i = base + 1; i <= through; ++i) kept += entryAt(i).data().size();
-    while (base < through) {
-        const bool isRecent = base + kKeptBehind >= through && kept <= kKeptBytes;
-        const bool isNeeded = base + 1 >= needed && kept <= neededBytesMost;
+    for (Index index = baseIndex + 1; index <= through; ++index) kept += entryAt(index).data().size();
+    while (baseIndex < through) {
+        const bool isRecent = baseIndex + kRetainedEntries >= through && kept <= kRetainedBytes;
+        const bool isNeeded = baseIndex + 1 >= needed && kept <= maxNeededBytes;
         if (isRecent || isNeeded) return;
         kept -= log.front().data().size();
-        ++base;
+        ++baseIndex;
         baseTerm = log.front().term();
         log.pop_front();
     }
@@ -77,63 +78,63 @@
 
 // ---- follower ----
 
-void Replica::State::onSnapshotChunk(const RaftMessage& m) {
-    const auto& identity = m.chunk().identity();
+void Replica::State::onSnapshotChunk(const RaftMessage& message) {
+    const auto& identity = message.chunk().identity();
     const Index index = identity.index();
-    const bool inLog = index <= lastIndex() && index >= base && termAt(index) == identity.term();
-    rejection.reset();
-    rejectedLast = false;
+    const bool inLog = index <= lastIndex() && index >= baseIndex && termAt(index) == identity.term();
+    pendingRejection.reset();
+    lastAppendRejected = false;
     responseDue = true;
     if ((index <= commit || inLog) && !settings.faults.installsOlderSnapshots) {
-        acceptedPrev = index;
-        matched = std::max(matched, index);
+        acceptedPrevIndex = index;
+        matchedIndex = std::max(matchedIndex, index);
         if (index > commit) commitTo(index);
         return;
     }
-    auto accepted = snapshotReceiver.accept(m.term(), m.chunk());
+    auto accepted = snapshotReceiver.accept(message.term(), message.chunk());
     if (!accepted) return;
     snapshotProgress = std::move(accepted->progress);
     if (accepted->snapshot) installSnapshot(*accepted->snapshot);
 }
 
-void Replica::State::installSnapshot(const proto::Snapshot& s) {
-    check(s.index() > commit || settings.faults.installsOlderSnapshots,
-          "a snapshot would take the place of a newer state");
-    acceptedPrev = s.index();
-    matched = std::max(matched, s.index());
-    durable = std::min(durable, commit);
-    inFlightLast = std::min(inFlightLast, commit);
-    cut = std::min(cut.value_or(s.index() + 1), s.index() + 1);
+void Replica::State::installSnapshot(const proto::Snapshot& received) {
+    check(received.index() > commit || settings.faults.installsOlderSnapshots,
+          "a snapshot would replace a newer state");
+    acceptedPrevIndex = received.index();
+    matchedIndex = std::max(matchedIndex, received.index());
+    durableIndex = std::min(durableIndex, commit);
+    inFlightLastIndex = std::min(inFlightLastIndex, commit);
+    truncateFrom = std::min(truncateFrom.value_or(received.index() + 1), received.index() + 1);
     log.clear();
-    snapshot = s;
+    snapshot = received;
     snapshotDirty = true;
-    base = s.index();
-    baseTerm = s.term();
-    unwritten = base + (settings.faults.losesEntryAfterSnapshot ? 2 : 1);
-    configs = {{base, s.members(), {}}};
-    commit = applied = base;
-    out.committed.clear();
-    out.install = s;
-    report({EventKind::snapshotInstalled, term, s.index(), {}, {}, {}, {}});
+    baseIndex = received.index();
+    baseTerm = received.term();
+    firstUnwritten = baseIndex + (settings.faults.losesEntryAfterSnapshot ? 2 : 1);
+    configs = {{baseIndex, received.members(), {}}};
+    commit = applied = baseIndex;
+    ready.committed.clear();
+    ready.install = received;
+    report({EventKind::snapshotInstalled, term, received.index(), {}, {}, {}, {}});
 }
 
 // ---- any role ----
 
 void Replica::compact(Micros now, Index through, std::string state) {
-    auto& s = *state_;
-    s.now = std::max(s.now, now);
-    check(through <= s.applied, "a snapshot would hold what isn't applied yet");
-    if (through <= s.snapshot.index()) return;
-    auto config = std::find_if(s.configs.rbegin(), s.configs.rend(),
-                               [&](const Config& c) { return c.index <= through; });
-    check(config != s.configs.rend(), "the members at a snapshot aren't known");
-    s.snapshot.set_term(s.termAt(through));
-    s.snapshot.set_index(through);
-    *s.snapshot.mutable_members() = config->members;
-    s.snapshot.set_data(std::move(state));
-    s.snapshotDirty = true;
-    s.configs.erase(s.configs.begin(), std::prev(config.base()));
-    s.trimLog(through);
+    auto& replica = *state_;
+    replica.now = std::max(replica.now, now);
+    check(through <= replica.applied, "a snapshot would cover entries that are not applied yet");
+    if (through <= replica.snapshot.index()) return;
+    auto config = std::find_if(replica.configs.rbegin(), replica.configs.rend(),
+                               [&](const Config& candidate) { return candidate.index <= through; });
+    check(config != replica.configs.rend(), "the members at the index of a snapshot are unknown");
+    replica.snapshot.set_term(replica.termAt(through));
+    replica.snapshot.set_index(through);
+    *replica.snapshot.mutable_members() = config->members;
+    replica.snapshot.set_data(std::move(state));
+    replica.snapshotDirty = true;
+    replica.configs.erase(replica.configs.begin(), std::prev(config.base()));
+    replica.trimLog(through);
 }
 
 }  // namespace marldale::raft
--- a/src/gateway/raft/store.cpp
+++ b/src/gateway/raft/store.cpp
@@ -1,3 +1,4 @@
+// Implementation of the store: LMDB transactions over checksummed records.
 #include "gateway/raft/store.h"
 
 #include <fcntl.h>
@@ -20,31 +21,31 @@
 
 namespace {
 
-// A record: its version, a checksum over its key and its bytes, the count of its bytes, its bytes (protobuf,
-// or a part of the data of a snapshot or an entry).
+// Format of a record: version, checksum over the key and the bytes, number of bytes, bytes (protobuf, or a
+// part of the data of a snapshot or an entry).
 //
-// Data larger than a part are kept in parts, each a record of its own. LMDB keeps a large value in pages that
-// follow each other; where it finds no such run among the free ones it grows the file. Parts are all alike,
-// so what one value gave up fits the next.
-constexpr unsigned char kVersion = 1;
-constexpr std::size_t kHeader = 1 + 8 + 4;
-constexpr const char* kFile = "raft.mdb";
-constexpr const char* kFresh = "raft.new";  // until it is whole
-const std::string kHead = "head";
-const std::string kSnapshot = "snapshot";
-const std::string kSnapshotParts = "s";  // and the number of the part
+// Data larger than one part is split into parts, each stored as a separate record. LMDB stores a large value
+// in consecutive pages and grows the file if it finds no free run that is long enough. All parts have the
+// same size, so the pages that one value frees fit the next.
+constexpr unsigned char kRecordVersion = 1;
+constexpr std::size_t kHeaderBytes = 1 + 8 + 4;
+constexpr const char* kFileName = "raft.mdb";
+constexpr const char* kNewFileName = "raft.new";  // until it is complete
+const std::string kHeadKey = "head";
+const std::string kSnapshotKey = "snapshot";
+const std::string kSnapshotPartPrefix = "s";  // followed by the part number
 constexpr std::size_t kEntryKeyBytes = 1 + 8;
 constexpr std::size_t kPartNumberBytes = 4;
-// With LMDB's header a whole number of pages.
-constexpr std::size_t kPartBytes = 4 * 4096 - 16 - kHeader;
+// A whole number of pages including LMDB's header.
+constexpr std::size_t kPartBytes = 4 * 4096 - 16 - kHeaderBytes;
 
 template <typename Number>
-void put(std::string& out, Number number, bool mostFirst) {
+void appendNumber(std::string& out, Number number, bool bigEndian) {
     for (std::size_t k = 0; k < sizeof(Number); ++k)
-        out.push_back(static_cast<char>(number >> (8U * (mostFirst ? sizeof(Number) - 1 - k : k))));
+        out.push_back(static_cast<char>(number >> (8U * (bigEndian ? sizeof(Number) - 1 - k : k))));
 }
 template <typename Number>
-Number get(std::string_view in, std::size_t from) {
+Number readNumber(std::string_view in, std::size_t from) {
     Number number = 0;
     for (std::size_t k = 0; k < sizeof(Number); ++k)
         number |= static_cast<Number>(static_cast<unsigned char>(in[from + k])) << (8U * k);
@@ -52,20 +53,20 @@
 }
 std::string entryKey(Index index) {
     std::string key = "e";
-    put(key, index, true);
+    appendNumber(key, index, true);
     return key;
 }
 std::string partKey(std::string key, std::uint32_t part) {
-    put(key, part, true);
+    appendNumber(key, part, true);
     return key;
 }
 bool isEntryKey(std::string_view key) { return key.size() == kEntryKeyBytes && key[0] == 'e'; }
-// Of an entry, or of a part of one.
-bool isOfEntries(std::string_view key) {
+// Whether a key belongs to an entry or to a part of one.
+bool isEntryOrPartKey(std::string_view key) {
     return isEntryKey(key) || (key.size() == kEntryKeyBytes + kPartNumberBytes && key[0] == 'e');
 }
-std::string nameOf(std::string_view key) {
-    if (!isOfEntries(key))
+std::string recordName(std::string_view key) {
+    if (!isEntryOrPartKey(key))
         return key.size() == 1 + kPartNumberBytes ? "a part of the snapshot" : std::string(key);
     Index index = 0;
     for (std::size_t k = 1; k < 9; ++k) index = index << 8U | static_cast<unsigned char>(key[k]);
@@ -75,34 +76,34 @@
     return XXH3_64bits_withSeed(bytes.data(), bytes.size(), XXH3_64bits(key.data(), key.size()));
 }
 
-// LMDB's errors and the system's, in the words of this layer. `full`: may well work later.
-absl::Status turned(int code, const std::string& doing, const std::string& path) {
-    const std::string what = absl::StrCat("the log at ", path, ": ", doing, ": ");
+// Maps error codes of LMDB and the system to a status. ResourceExhausted errors may succeed later.
+absl::Status statusOf(int code, const std::string& action, const std::string& path) {
+    const std::string what = absl::StrCat("the log at ", path, ": ", action, ": ");
     switch (code) {
         case 0: return absl::OkStatus();
         case MDB_MAP_FULL:
-            return absl::ResourceExhaustedError(absl::StrCat(what, "it has reached its greatest size"));
+            return absl::ResourceExhaustedError(absl::StrCat(what, "it has reached its maximum size"));
         case ENOSPC:
         case EFBIG:
         case EDQUOT: return absl::ResourceExhaustedError(absl::StrCat(what, "the disk is full"));
         case MDB_INVALID:
         case MDB_VERSION_MISMATCH:
-            return absl::DataLossError(absl::StrCat(what, "this is no raft, or its first page is damaged"));
+            return absl::DataLossError(absl::StrCat(what, "not a raft log, or its first page is damaged"));
         case MDB_CORRUPTED:
         case MDB_PAGE_NOTFOUND: return absl::DataLossError(absl::StrCat(what, "a page is damaged"));
         case EACCES:
         case EPERM:
-        case EROFS: return absl::PermissionDeniedError(absl::StrCat(what, "not allowed"));
+        case EROFS: return absl::PermissionDeniedError(absl::StrCat(what, "permission denied"));
         default: return absl::UnavailableError(absl::StrCat(what, mdb_strerror(code)));
     }
 }
 
 absl::Status syncFolder(const std::string& folder) {
     const int fd = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (fd < 0) return turned(errno, "opening the folder", folder);
+    if (fd < 0) return statusOf(errno, "opening the folder", folder);
     const int code = ::fsync(fd) == 0 ? 0 : errno;
     ::close(fd);
-    return turned(code, "syncing the folder", folder);
+    return statusOf(code, "syncing the folder", folder);
 }
 
 }  // namespace
@@ -114,22 +115,22 @@
     MDB_dbi dbi = 0;
     proto::DiskHead head;
 
-    ~State() { shut(); }
-    void shut() {
+    ~State() { close(); }
+    void close() {
         if (env != nullptr) mdb_env_close(env);
         env = nullptr;
     }
-    absl::Status fail(int code, const char* doing) const { return turned(code, doing, path); }
-    absl::Status damaged(const std::string& what) const {
+    absl::Status fail(int code, const char* action) const { return statusOf(code, action, path); }
+    absl::Status dataLoss(const std::string& what) const {
         return absl::DataLossError(absl::StrCat("the log at ", path, ": ", what));
     }
 
-    absl::Status start() {
-        shut();
+    absl::Status openEnvironment() {
+        close();
         int code = mdb_env_create(&env);
         if (code == 0) code = mdb_env_set_mapsize(env, mapBytes);
-        // No lock file: one process, one thread that writes. The root is written without O_DSYNC: `write`
-        // syncs it.
+        // No lock file is needed: one process with one writing thread. The root page is written without
+        // O_DSYNC; `write` syncs it.
         if (code == 0)
             code = mdb_env_open(env, path.c_str(), MDB_NOSUBDIR | MDB_NOLOCK | MDB_NORDAHEAD | MDB_NOMETASYNC,
                                 0644);
@@ -137,7 +138,7 @@
         if (code == 0) code = mdb_txn_begin(env, nullptr, MDB_RDONLY, &txn);
         if (code == 0) code = mdb_dbi_open(txn, nullptr, 0, &dbi);
         if (txn != nullptr) mdb_txn_abort(txn);
-        if (code != 0) shut();
+        if (code != 0) close();
         return fail(code, "opening");
     }
 
@@ -155,10 +156,10 @@
     }
     static int putBytes(MDB_txn* txn, MDB_dbi dbi, const std::string& key, std::string_view bytes) {
         std::string record;
-        record.reserve(kHeader + bytes.size());
-        record.push_back(static_cast<char>(kVersion));
-        put(record, checksum(key, bytes), false);
-        put(record, static_cast<std::uint32_t>(bytes.size()), false);
+        record.reserve(kHeaderBytes + bytes.size());
+        record.push_back(static_cast<char>(kRecordVersion));
+        appendNumber(record, checksum(key, bytes), false);
+        appendNumber(record, static_cast<std::uint32_t>(bytes.size()), false);
         record += bytes;
         MDB_val k{key.size(), const_cast<char*>(key.data())};
         MDB_val v{record.size(), record.data()};
@@ -169,28 +170,28 @@
         const auto bytes = verified(key, record);
         if (!bytes.ok()) return bytes.status();
         if (!into.ParseFromArray(bytes->data(), static_cast<int>(bytes->size())))
-            return damaged(absl::StrCat(nameOf(key), " can't be read"));
+            return dataLoss(absl::StrCat(recordName(key), " cannot be parsed"));
         return absl::OkStatus();
     }
-    // The bytes of a record, which hold.
+    // The bytes of a record, after its version, length and checksum were verified.
     absl::StatusOr<std::string_view> verified(std::string_view key, std::string_view record) const {
-        const std::string name = nameOf(key);
-        if (record.size() < kHeader)
-            return damaged(absl::StrCat(name, " is cut short: ", record.size(), " bytes"));
-        if (static_cast<unsigned char>(record[0]) != kVersion)
-            return damaged(absl::StrCat(name, " has version ",
-                                        static_cast<unsigned>(static_cast<unsigned char>(record[0])),
-                                        ", known is ", static_cast<unsigned>(kVersion)));
-        const std::string_view bytes = record.substr(kHeader);
-        if (get<std::uint32_t>(record, 9) != bytes.size())
-            return damaged(absl::StrCat(name, " has ", bytes.size(), " bytes, not the ",
-                                        get<std::uint32_t>(record, 9), " it tells"));
-        if (get<std::uint64_t>(record, 1) != checksum(key, bytes))
-            return damaged(absl::StrCat(name, " doesn't match its checksum"));
+        const std::string name = recordName(key);
+        if (record.size() < kHeaderBytes)
+            return dataLoss(absl::StrCat(name, " is truncated: ", record.size(), " bytes"));
+        if (static_cast<unsigned char>(record[0]) != kRecordVersion)
+            return dataLoss(absl::StrCat(name, " has version ",
+                                         static_cast<unsigned>(static_cast<unsigned char>(record[0])),
+                                         ", expected version ", static_cast<unsigned>(kRecordVersion)));
+        const std::string_view bytes = record.substr(kHeaderBytes);
+        if (readNumber<std::uint32_t>(record, 9) != bytes.size())
+            return dataLoss(absl::StrCat(name, " has ", bytes.size(), " bytes, but its header says ",
+                                         readNumber<std::uint32_t>(record, 9)));
+        if (readNumber<std::uint64_t>(record, 1) != checksum(key, bytes))
+            return dataLoss(absl::StrCat(name, " does not match its checksum"));
         return bytes;
     }
-    // Appends the parts under `key` to `data`, which then must have `size` bytes. Leaves the cursor behind
-    // them.
+    // Appends the parts of `key` to `data`, which must then have `size` bytes. Leaves the cursor at the last
+    // part.
     absl::Status readParts(MDB_cursor* cursor, const std::string& key, std::size_t size,
                            std::string& data) const {
         data.reserve(size);
@@ -200,17 +201,18 @@
             MDB_val v{};
             const int code = mdb_cursor_get(cursor, &k, &v, MDB_SET_KEY);
             if (code == MDB_NOTFOUND)
-                return damaged(absl::StrCat(nameOf(wanted), ": part ", part, " is missing"));
+                return dataLoss(absl::StrCat(recordName(wanted), ": part ", part, " is missing"));
             if (code != 0) return fail(code, "reading");
             const auto bytes = verified(wanted, {static_cast<const char*>(v.mv_data), v.mv_size});
             if (!bytes.ok()) return bytes.status();
             data += *bytes;
         }
         if (data.size() != size)
-            return damaged(absl::StrCat(nameOf(key), " has ", data.size(), " bytes of data, not ", size));
+            return dataLoss(
+                absl::StrCat(recordName(key), " has ", data.size(), " bytes of data instead of ", size));
         return absl::OkStatus();
     }
-    // Nothing found: false.
+    // Returns false if there is no such record.
     absl::StatusOr<bool> getRecord(MDB_txn* txn, const std::string& key,
                                    google::protobuf::MessageLite& into) const {
         MDB_val k{key.size(), const_cast<char*>(key.data())};
@@ -223,15 +225,15 @@
     }
 
     absl::Status loadHead(MDB_txn* txn, proto::DiskHead& found) const {
-        const auto there = getRecord(txn, kHead, found);
-        if (!there.ok()) return there.status();
-        if (!*there) return damaged("its head is missing");
+        const auto exists = getRecord(txn, kHeadKey, found);
+        if (!exists.ok()) return exists.status();
+        if (!*exists) return dataLoss("the head record is missing");
         if (found.transaction() != mdb_txn_id(txn))
-            return damaged(absl::StrCat("its root is of another time: transaction ", mdb_txn_id(txn),
-                                        ", its head tells ", found.transaction()));
+            return dataLoss(absl::StrCat("the root page is inconsistent: transaction ", mdb_txn_id(txn),
+                                         ", but the head record names ", found.transaction()));
         return absl::OkStatus();
     }
-    absl::Status beginFrom() {
+    absl::Status loadCurrentHead() {
         MDB_txn* txn = nullptr;
         if (const int code = mdb_txn_begin(env, nullptr, MDB_RDONLY, &txn); code != 0)
             return fail(code, "reading");
@@ -240,21 +242,21 @@
         return status;
     }
     absl::Status reopen() {
-        auto status = start();
-        return status.ok() ? beginFrom() : status;
+        auto status = openEnvironment();
+        return status.ok() ? loadCurrentHead() : status;
     }
     absl::Status loadSnapshot(MDB_txn* txn, MDB_cursor* cursor, proto::Snapshot& snapshot) const {
         proto::DiskSnapshot record;
-        const auto there = getRecord(txn, kSnapshot, record);
-        if (!there.ok()) return there.status();
+        const auto exists = getRecord(txn, kSnapshotKey, record);
+        if (!exists.ok()) return exists.status();
         snapshot.set_term(record.term());
         snapshot.set_index(record.index());
         if (record.has_members()) *snapshot.mutable_members() = record.members();
         *snapshot.mutable_data() = std::move(*record.mutable_data());
         if (record.parts_bytes() == 0) return absl::OkStatus();
-        return readParts(cursor, kSnapshotParts, record.parts_bytes(), *snapshot.mutable_data());
+        return readParts(cursor, kSnapshotPartPrefix, record.parts_bytes(), *snapshot.mutable_data());
     }
-    // The index of the last one.
+    // Returns the index of the last entry.
     absl::StatusOr<Index> loadEntries(MDB_cursor* cursor, PersistentState& into) const {
         const std::string first = entryKey(0);
         MDB_val k{first.size(), const_cast<char*>(first.data())};
@@ -268,17 +270,17 @@
             if (auto s = parse(key, {static_cast<const char*>(v.mv_data), v.mv_size}, record); !s.ok())
                 return s;
             auto& entry = into.entries.emplace_back();
-            if (auto s = entryOf(cursor, key, std::move(record), entry); !s.ok()) return s;
+            if (auto s = loadEntry(cursor, key, std::move(record), entry); !s.ok()) return s;
             if (entry.index() != last + 1 || key != entryKey(entry.index()))
-                return damaged(absl::StrCat("after index ", last, " comes ", nameOf(key),
-                                            ", which tells index ", entry.index()));
+                return dataLoss(absl::StrCat("index ", last, " is followed by ", recordName(key),
+                                             ", which contains index ", entry.index()));
             last = entry.index();
         }
         if (code != 0 && code != MDB_NOTFOUND) return fail(code, "reading");
         return last;
     }
-    absl::Status entryOf(MDB_cursor* cursor, const std::string& key, proto::DiskEntry record,
-                         proto::Entry& entry) const {
+    absl::Status loadEntry(MDB_cursor* cursor, const std::string& key, proto::DiskEntry record,
+                           proto::Entry& entry) const {
         entry.set_term(record.term());
         entry.set_index(record.index());
         entry.set_kind(static_cast<proto::Entry::Kind>(record.kind()));
@@ -301,21 +303,22 @@
         if (found.has_voted()) out.votedFor = found.voted();
         MDB_cursor* cursor = nullptr;
         if (const int code = mdb_cursor_open(txn, dbi, &cursor); code != 0) return fail(code, "reading");
-        const std::unique_ptr<MDB_cursor, void (*)(MDB_cursor*)> shutCursor(cursor, mdb_cursor_close);
+        const std::unique_ptr<MDB_cursor, void (*)(MDB_cursor*)> cursorGuard(cursor, mdb_cursor_close);
         if (auto s = loadSnapshot(txn, cursor, out.snapshot); !s.ok()) return s;
         if (out.snapshot.index() != found.snapshot_index())
-            return damaged(absl::StrCat("its snapshot is of index ", out.snapshot.index(), ", not ",
-                                        found.snapshot_index()));
+            return dataLoss(absl::StrCat("the snapshot has index ", out.snapshot.index(), ", expected ",
+                                         found.snapshot_index()));
         const auto loaded = loadEntries(cursor, out);
         if (!loaded.ok()) return loaded.status();
         const Index last = *loaded;
         if (last != found.last_index())
-            return damaged(absl::StrCat("it ends at index ", last, ", its head tells ", found.last_index()));
+            return dataLoss(absl::StrCat("the log ends at index ", last, ", but the head record names ",
+                                         found.last_index()));
         return out;
     }
 
-    // Drops the entries from `from` through `through`, with their parts.
-    static int drop(MDB_txn* txn, MDB_dbi dbi, Index from, Index through) {
+    // Deletes the entries from `from` through `through` and their parts.
+    static int deleteEntries(MDB_txn* txn, MDB_dbi dbi, Index from, Index through) {
         if (from > through) return 0;
         MDB_cursor* cursor = nullptr;
         int code = mdb_cursor_open(txn, dbi, &cursor);
@@ -327,7 +330,7 @@
         code = mdb_cursor_get(cursor, &k, &v, MDB_SET_RANGE);
         while (code == 0) {
             const std::string_view at(static_cast<const char*>(k.mv_data), k.mv_size);
-            if (!isOfEntries(at) || at.substr(0, kEntryKeyBytes) > end) break;
+            if (!isEntryOrPartKey(at) || at.substr(0, kEntryKeyBytes) > end) break;
             code = mdb_cursor_del(cursor, 0);
             if (code == 0) code = mdb_cursor_get(cursor, &k, &v, MDB_NEXT);
         }
@@ -335,10 +338,10 @@
         return code == MDB_NOTFOUND ? 0 : code;
     }
 
-    static int dropSnapshotParts(MDB_txn* txn, MDB_dbi dbi) {
+    static int deleteSnapshotParts(MDB_txn* txn, MDB_dbi dbi) {
         int code = 0;
         for (std::uint32_t part = 0; code == 0; ++part) {
-            const std::string key = partKey(kSnapshotParts, part);
+            const std::string key = partKey(kSnapshotPartPrefix, part);
             MDB_val k{key.size(), const_cast<char*>(key.data())};
             code = mdb_del(txn, dbi, &k, nullptr);
         }
@@ -350,9 +353,9 @@
         record.set_index(snapshot.index());
         if (snapshot.has_members()) *record.mutable_members() = snapshot.members();
         record.set_parts_bytes(snapshot.data().size());
-        int code = dropSnapshotParts(txn, dbi);
-        if (code == 0) code = putRecord(txn, dbi, kSnapshot, record);
-        return code == 0 ? putParts(txn, dbi, kSnapshotParts, snapshot.data()) : code;
+        int code = deleteSnapshotParts(txn, dbi);
+        if (code == 0) code = putRecord(txn, dbi, kSnapshotKey, record);
+        return code == 0 ? putParts(txn, dbi, kSnapshotPartPrefix, snapshot.data()) : code;
     }
     static int putEntry(MDB_txn* txn, MDB_dbi dbi, const proto::Entry& entry) {
         const std::string key = entryKey(entry.index());
@@ -368,7 +371,7 @@
         return code == 0 ? putParts(txn, dbi, key, entry.data()) : code;
     }
 
-    int fill(MDB_txn* txn, const Write& write, proto::DiskHead& next) const {
+    int applyWrite(MDB_txn* txn, const Write& write, proto::DiskHead& next) const {
         int code = 0;
         if (write.hasHardState) {
             next.set_term(write.term);
@@ -376,11 +379,11 @@
             if (write.votedFor) *next.mutable_voted() = *write.votedFor;
         }
         if (write.truncateFrom && code == 0) {
-            code = drop(txn, dbi, *write.truncateFrom, ~Index{0});
+            code = deleteEntries(txn, dbi, *write.truncateFrom, ~Index{0});
             next.set_last_index(std::min(next.last_index(), *write.truncateFrom - 1));
         }
         if (write.snapshot && code == 0) {
-            code = drop(txn, dbi, 0, write.snapshot->index());
+            code = deleteEntries(txn, dbi, 0, write.snapshot->index());
             if (code == 0) code = putSnapshot(txn, dbi, *write.snapshot);
             next.set_snapshot_index(write.snapshot->index());
             next.set_last_index(std::max(next.last_index(), write.snapshot->index()));
@@ -391,41 +394,41 @@
             next.set_last_index(entry.index());
         }
         next.set_transaction(mdb_txn_id(txn));
-        if (code == 0) code = putRecord(txn, dbi, kHead, next);
+        if (code == 0) code = putRecord(txn, dbi, kHeadKey, next);
         return code;
     }
 
     absl::Status write(const Write& write) {
-        auto status = attempt(write);
-        // LMDB uses the pages that a transaction freed only from the second one after it on; where it can't
-        // grow, small ones bring it there.
+        auto status = writeOnce(write);
+        // LMDB reuses the pages freed by a transaction only from the second following transaction on. If the
+        // file cannot grow, empty transactions make these pages available.
         for (int k = 0; k < 2 && absl::IsResourceExhausted(status); ++k) {
-            if (!attempt({}).ok()) return status;
-            status = attempt(write);
+            if (!writeOnce({}).ok()) return status;
+            status = writeOnce(write);
         }
         return status;
     }
-    absl::Status attempt(const Write& write) {
+    absl::Status writeOnce(const Write& write) {
         if (env == nullptr)
             if (auto s = reopen(); !s.ok()) return s;
         MDB_txn* txn = nullptr;
         int code = mdb_txn_begin(env, nullptr, 0, &txn);
         if (code == MDB_PANIC) {
-            // Its root couldn't be written the last time; opened anew, it goes on from the one before.
+            // The previous write of the root page failed. Reopening continues from the root before it.
             if (auto s = reopen(); !s.ok()) return s;
             code = mdb_txn_begin(env, nullptr, 0, &txn);
         }
         if (code != 0) return fail(code, "writing");
         proto::DiskHead next = head;
-        code = fill(txn, write, next);
+        code = applyWrite(txn, write, next);
         if (code != 0) {
             mdb_txn_abort(txn);
             return fail(code, "writing");
         }
-        // LMDB syncs the pages, then writes the root; the root gets a sync of its own.
+        // LMDB syncs the data pages and then writes the root page, which is synced separately below.
         code = mdb_txn_commit(txn);
         if (code != 0) return fail(code, "writing");
-        head = next;  // in the file, if not on the disk yet; the same write done again leads to the same
+        head = next;  // in the file, maybe not durable yet; repeating the write gives the same result
         return fail(mdb_env_sync(env, 1), "syncing");
     }
 };
@@ -436,18 +439,18 @@
 absl::StatusOr<std::unique_ptr<Store>> Store::open(const std::string& folder, const std::string& address,
                                                    bool firstRun, bool seed, std::size_t mapBytes) {
     if (::mkdir(folder.c_str(), 0755) != 0 && errno != EEXIST)
-        return turned(errno, "making the folder", folder);
-    const std::string path = absl::StrCat(folder, "/", kFile);
+        return statusOf(errno, "creating the folder", folder);
+    const std::string path = absl::StrCat(folder, "/", kFileName);
     auto state = std::make_unique<State>();
     state->mapBytes = mapBytes;
     if (::access(path.c_str(), F_OK) != 0) {
-        if (errno != ENOENT) return turned(errno, "looking for it", path);
-        // Made whole under another name, so that a loss of power leaves all of it or nothing.
-        const std::string fresh = absl::StrCat(folder, "/", kFresh);
-        if (::unlink(fresh.c_str()) != 0 && errno != ENOENT)
-            return turned(errno, "removing what was begun", fresh);
-        state->path = fresh;
-        if (auto s = state->start(); !s.ok()) return s;
+        if (errno != ENOENT) return statusOf(errno, "checking for the file", path);
+        // Created under another name and renamed, so that a power loss leaves either a complete file or none.
+        const std::string newPath = absl::StrCat(folder, "/", kNewFileName);
+        if (::unlink(newPath.c_str()) != 0 && errno != ENOENT)
+            return statusOf(errno, "removing the incomplete file", newPath);
+        state->path = newPath;
+        if (auto s = state->openEnvironment(); !s.ok()) return s;
         auto* self = state->head.mutable_self();
         self->set_address(address);
         if (!(firstRun && seed)) {
@@ -457,18 +460,20 @@
             self->set_number(number);
         }
         if (auto s = state->write({}); !s.ok()) return s;
-        state->shut();
-        if (::rename(fresh.c_str(), path.c_str()) != 0) return turned(errno, "naming it", path);
+        state->close();
+        if (::rename(newPath.c_str(), path.c_str()) != 0)
+            return statusOf(errno, "renaming the new file", path);
         if (auto s = syncFolder(folder); !s.ok()) return s;
     }
     state->path = path;
     if (auto s = state->reopen(); !s.ok()) return s;
-    // A process that was killed may have left a root that isn't on the disk yet; what is loaded is built
-    // upon.
+    // A killed process may have left a root page that is not durable yet. It is synced before its content is
+    // used.
     if (auto s = state->fail(mdb_env_sync(state->env, 1), "syncing"); !s.ok()) return s;
     if (state->head.self().address() != address)
-        return absl::FailedPreconditionError(absl::StrCat(
-            "the log at ", path, " is of the machine ", state->head.self().address(), ", not of ", address));
+        return absl::FailedPreconditionError(absl::StrCat("the log at ", path, " belongs to the machine ",
+                                                          state->head.self().address(), ", not to ",
+                                                          address));
     return std::unique_ptr<Store>(new Store(std::move(state)));
 }
 
--- a/src/gateway/raft/store.h
+++ b/src/gateway/raft/store.h
@@ -1,5 +1,5 @@
-// The raft on disk: LMDB under a folder, every record with version, length and checksum (xxHash). A record
-// that does not hold is told and never taken.
+// Persistent storage of a replica: an LMDB file in a folder. Every record has a version, a length and a
+// checksum (xxHash); an invalid record is reported as an error and never used.
 #pragma once
 
 #include <memory>
@@ -10,17 +10,19 @@
 
 namespace marldale::raft {
 
+// The persistent state of one replica on disk.
 class Store {
 public:
-    // `firstRun`: where the folder holds nothing, this machine is one of the seeds' (number 0) if `seed`,
-    // else a stranger with a number drawn at random. What is drawn is durable before this returns.
+    // Opens the store in `folder`, or creates it. A new store belongs to a seed (member number 0) if both
+    // `firstRun` and `seed` are set, otherwise to a new member with a random number. The number is durable
+    // before this returns.
     static absl::StatusOr<std::unique_ptr<Store>> open(const std::string& folder, const std::string& address,
                                                        bool firstRun, bool seed,
                                                        std::size_t mapBytes = std::size_t{160} << 20U);
     ~Store();
     [[nodiscard]] absl::StatusOr<PersistentState> load() const;
-    // Durable when it returns well (data and the root of the tree synced). May be tried again after an error
-    // (a full disk).
+    // The write is durable if this returns OK: the data and the root page are synced. It may be retried after
+    // an error such as a full disk.
     [[nodiscard]] absl::Status write(const Write& write);
 
 private:
--- a/tests/gateway/membership_plan_test.cpp
+++ b/tests/gateway/membership_plan_test.cpp
@@ -1,4 +1,4 @@
-// The choice of voters, by what is survived after it.
+// Tests of the membership planner: which voters are chosen for the best fault tolerance.
 #include "gateway/raft/membership_plan.h"
 
 #include <catch2/catch.hpp>
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("A fourth machine stays a learner, two more vote", "[raft][membership]") {
+TEST_CASE("A fourth machine stays a learner, and two additional machines become voters", "[raft][membership]") {
     const std::vector voters{machine("a", ""), machine("b", ""), machine("c", "")};
     CHECK_FALSE(planMembership(voters, {machine("d", "")}, kMaxVoters));
     const auto change = planMembership(voters, {machine("d", ""), machine("e", "")}, kMaxVoters);
@@ -28,7 +28,7 @@
     CHECK_FALSE(planMembership(voters, {machine("d", ""), machine("e", "")}, 3));
 }
 
-TEST_CASE("A silent voter gives its place up, a leaving one after it", "[raft][membership]") {
+TEST_CASE("A silent voter is replaced before a leaving one", "[raft][membership]") {
     std::vector voters{machine("a", "x"), machine("b", "y"), machine("c", "z")};
     voters[1].leaving = true;
     voters[2].silent = true;
@@ -39,7 +39,7 @@
     CHECK(change->added.at(0).address() == "d");
 }
 
-TEST_CASE("Nobody is taken out where that helps nothing", "[raft][membership]") {
+TEST_CASE("No voter is removed without a benefit", "[raft][membership]") {
     std::vector voters{machine("a", "x"), machine("b", "y"), machine("c", "z")};
     voters[2].silent = true;
     CHECK_FALSE(planMembership(voters, {}, kMaxVoters));
@@ -47,12 +47,12 @@
     CHECK_FALSE(planMembership(pair, {}, kMaxVoters));
 }
 
-TEST_CASE("No zone holds so many voters that its loss takes the majority", "[raft][membership]") {
+TEST_CASE("Voters are spread so that the loss of one zone leaves a majority", "[raft][membership]") {
     const std::vector voters{machine("a", "x"), machine("b", "x"), machine("c", "y")};
     const auto spread = planMembership(voters, {machine("d", "z")}, kMaxVoters);
     REQUIRE(spread);
     CHECK(spread->reason == ChangeReason::zoneSpread);
-    // After a planned replacement: five voters, one of them gone, two of the others in one zone.
+    // After a planned replacement: five voters, one of them leaving, and two of the others in one zone.
     std::vector five{machine("a", "x"), machine("b", "y"), machine("c", "z"), machine("d", "x"),
                      machine("e", "x")};
     five[0].leaving = true;
--- a/tests/gateway/raft_catch_up_test.cpp
+++ b/tests/gateway/raft_catch_up_test.cpp
@@ -1,6 +1,6 @@
-// A member that restarted, lost its disk or has a slow link catches up while changes go on, and meanwhile
-// neither leads nor serves. Replicas in one process over links with a latency and a bandwidth, and disks with
-// a speed.
+// Tests that a member that restarted, lost its disk or has a slow link catches up while changes continue, and
+// that it neither leads nor serves in the meantime. Simulates replicas in one process with link latency and
+// bandwidth and with disk speed.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <iostream>
@@ -19,6 +19,7 @@
 
 constexpr Micros kMs = 1000, kSecond = 1000000;
 
+// Sizes and rate of the changes, and injected faults.
 struct Load {
     const char* name = "";
     std::size_t stateBytes = 200000;
@@ -27,12 +28,13 @@
     Faults faults;
 };
 
-struct Route {  // one way
+struct Link {  // one direction
     Micros latency = 500;
     double bytesPerSecond = 50e6;
-    Micros freeAt = 0;
+    Micros idleAt = 0;
 };
 
+// Three simulated replicas under a steady load of changes.
 class Deployment {
 public:
     static constexpr std::size_t kMembers = 3;
@@ -50,17 +52,18 @@
     void run(Micros span) {
         for (const Micros end = now_ + span; now_ < end;) {
             Micros due = std::min(end, changeDue_);
-            for (const Machine& m : machines_)
-                if (m.replica) due = std::min(due, std::min(m.replica->nextDue(), m.writeDone));
-            if (!carried_.empty()) due = std::min(due, carried_.top().when);
+            for (const Machine& machine : machines_)
+                if (machine.replica)
+                    due = std::min(due, std::min(machine.replica->nextDue(), machine.writeDone));
+            if (!inFlight_.empty()) due = std::min(due, inFlight_.top().when);
             now_ = std::max(now_, due);
             if (now_ >= changeDue_) change();
-            while (!carried_.empty() && carried_.top().when <= now_) deliver();
+            while (!inFlight_.empty() && inFlight_.top().when <= now_) deliver();
             for (std::size_t k = 0; k < kMembers; ++k) {
                 if (!machines_[k].replica) continue;
                 diskDone(k);
                 machines_[k].replica->tick(now_);
-                turn(k);
+                processReady(k);
             }
         }
     }
@@ -71,31 +74,32 @@
         machines_[k].writeDone = kNever;
     }
     void start(std::size_t k) {
-        Machine& m = machines_[k];
-        m.applied = 0;
-        m.policy = {};
-        m.lastLeaderMessage = now_;
-        m.longestSilence = 0;
+        Machine& machine = machines_[k];
+        machine.applied = 0;
+        machine.policy = {};
+        machine.lastLeaderMessage = now_;
+        machine.longestSilence = 0;
         Settings settings = settings_;
-        settings.seed = 7 * k + m.incarnation + 1;
-        m.replica = std::make_unique<Replica>(settings, m.disk, now_);
-        m.replica->contacts(settings.seeds);
-        turn(k);
+        settings.seed = 7 * k + machine.incarnation + 1;
+        machine.replica = std::make_unique<Replica>(settings, machine.disk, now_);
+        machine.replica->contacts(settings.seeds);
+        processReady(k);
     }
     void wipe(std::size_t k) {
         machines_[k].disk = {};
         machines_[k].disk.self.set_address(std::to_string(k));
         machines_[k].disk.self.set_number(1000 + k);
     }
-    void slow(std::size_t k, Micros latency, double bytesPerSecond) {
-        for (std::size_t o = 0; o < kMembers; ++o) {
-            for (Route* route : {&routes_[{k, o}], &routes_[{o, k}]}) {
-                route->latency = latency;
-                route->bytesPerSecond = bytesPerSecond;
+    void slowLinks(std::size_t k, Micros latency, double bytesPerSecond) {
+        for (std::size_t other = 0; other < kMembers; ++other) {
+            for (Link* link : {&links_[{k, other}], &links_[{other, k}]}) {
+                link->latency = latency;
+                link->bytesPerSecond = bytesPerSecond;
             }
         }
     }
-    // How long until it is sure to be as new as `within` ago, while changes go on; -1: not within `most`.
+    // The time until the quorum contact of machine `k` is at most `within` old while changes continue; -1:
+    // not reached within `most`.
     Micros catchUp(std::size_t k, Micros within, Micros most) {
         const Micros began = now_;
         while (now_ - began < most) {
@@ -108,7 +112,7 @@
     std::size_t leader() const {
         for (std::size_t k = 0; k < kMembers; ++k)
             if (machines_[k].replica && machines_[k].replica->leads()) return k;
-        FAIL("nobody leads");
+        FAIL("no leader");
         return 0;
     }
     std::size_t follower() const { return (leader() + 1) % kMembers; }
@@ -117,7 +121,9 @@
         return machines_[k].replica->quorumContactAge(now_);
     }
     [[nodiscard]] std::size_t snapshotBytes() const { return snapshotBytes_; }
-    [[nodiscard]] Index acknowledged() const { return acked_.empty() ? 0 : acked_.rbegin()->second; }
+    [[nodiscard]] Index acknowledged() const {
+        return acknowledged_.empty() ? 0 : acknowledged_.rbegin()->second;
+    }
     [[nodiscard]] Micros longestSilence(std::size_t k) const { return machines_[k].longestSilence; }
     [[nodiscard]] std::size_t largestMessage() const { return largestMessage_; }
     [[nodiscard]] std::size_t installs(std::size_t k) const { return machines_[k].installs; }
@@ -136,68 +142,71 @@
         Micros lastLeaderMessage = 0, longestSilence = 0;
         std::size_t installs = 0;
     };
-    struct Carried {
+    struct InFlightMessage {
         Micros when = 0;
         std::uint64_t order = 0;
         std::uint64_t incarnation = 0;  // of the receiver
         proto::RaftMessage message;
-        bool operator<(const Carried& o) const { return when != o.when ? when > o.when : order > o.order; }
+        bool operator<(const InFlightMessage& other) const {
+            return when != other.when ? when > other.when : order > other.order;
+        }
     };
 
     void change() {
         changeDue_ += load_.changeEvery;
-        for (Machine& m : machines_) {
-            if (m.replica && m.replica->leads())
-                (void)m.replica->propose(now_, std::string(load_.changeBytes, 'c'));
+        for (Machine& machine : machines_) {
+            if (machine.replica && machine.replica->leads())
+                (void)machine.replica->propose(now_, std::string(load_.changeBytes, 'c'));
         }
     }
-    void turn(std::size_t k) {
-        Machine& m = machines_[k];
-        Ready ready = m.replica->take();
-        for (proto::RaftMessage& message : ready.messages) carry(k, std::move(message));
-        for (Write& write : ready.writes) beginWrite(m, std::move(write));
+    void processReady(std::size_t k) {
+        Machine& machine = machines_[k];
+        Ready ready = machine.replica->take();
+        for (proto::RaftMessage& message : ready.messages) send(k, std::move(message));
+        for (Write& write : ready.writes) beginWrite(machine, std::move(write));
         if (ready.install) {
-            CHECK(ready.install->index() >= m.applied);
-            m.applied = ready.install->index();
-            m.policy.compacted(ready.install->data().size());
-            ++m.installs;
+            CHECK(ready.install->index() >= machine.applied);
+            machine.applied = ready.install->index();
+            machine.policy.compacted(ready.install->data().size());
+            ++machine.installs;
         }
-        for (const proto::Entry& entry : ready.committed) apply(m, entry);
-        checkSafety(m);
+        for (const proto::Entry& entry : ready.committed) apply(machine, entry);
+        checkSafety(machine);
     }
-    void apply(Machine& m, const proto::Entry& entry) {
-        CHECK(entry.index() == m.applied + 1);
-        m.applied = entry.index();
-        if (m.replica->leads() && m.applied > acknowledged()) acked_[now_] = m.applied;
-        if (!m.policy.applied(entry.data().size())) return;
-        m.policy.compacted(load_.stateBytes);
-        m.replica->compact(now_, m.applied, std::string(load_.stateBytes, 's'));
+    void apply(Machine& machine, const proto::Entry& entry) {
+        CHECK(entry.index() == machine.applied + 1);
+        machine.applied = entry.index();
+        if (machine.replica->leads() && machine.applied > acknowledged())
+            acknowledged_[now_] = machine.applied;
+        if (!machine.policy.applied(entry.data().size())) return;
+        machine.policy.compacted(load_.stateBytes);
+        machine.replica->compact(now_, machine.applied, std::string(load_.stateBytes, 's'));
     }
-    // One that is behind is never sure of being newer than it is.
-    void checkSafety(const Machine& m) {
-        const Micros age = m.replica->quorumContactAge(now_);
+    // A replica never reports quorum contact newer than its state.
+    void checkSafety(const Machine& machine) {
+        const Micros age = machine.replica->quorumContactAge(now_);
         if (age < 0) return;
-        const auto later = acked_.lower_bound(now_ - age);  // acknowledged strictly before
-        if (later != acked_.begin()) CHECK(m.applied >= std::prev(later)->second);
+        const auto later = acknowledged_.lower_bound(now_ - age);  // only earlier acknowledgements count
+        if (later != acknowledged_.begin()) CHECK(machine.applied >= std::prev(later)->second);
     }
-    void beginWrite(Machine& m, Write write) {
-        REQUIRE_FALSE(m.writing);
+    void beginWrite(Machine& machine, Write write) {
+        REQUIRE_FALSE(machine.writing);
         std::size_t bytes = write.snapshot ? write.snapshot->ByteSizeLong() : 0;
         for (const proto::Entry& entry : write.entries) bytes += entry.ByteSizeLong();
-        m.writing = std::move(write);
-        m.writeDone =
+        machine.writing = std::move(write);
+        machine.writeDone =
             now_ + 2 * kMs + static_cast<Micros>(static_cast<double>(bytes) / kDiskBytesPerSecond * 1e6);
     }
     void diskDone(std::size_t k) {
-        Machine& m = machines_[k];
-        if (now_ < m.writeDone) return;
-        const Write write = std::move(*m.writing);
-        m.writing.reset();
-        m.writeDone = kNever;
-        put(m.disk, write);
-        m.replica->persisted(now_, write.number);
+        Machine& machine = machines_[k];
+        if (now_ < machine.writeDone) return;
+        const Write write = std::move(*machine.writing);
+        machine.writing.reset();
+        machine.writeDone = kNever;
+        applyWrite(machine.disk, write);
+        machine.replica->persisted(now_, write.number);
     }
-    static void put(PersistentState& disk, const Write& write) {
+    static void applyWrite(PersistentState& disk, const Write& write) {
         if (write.hasHardState) {
             disk.term = write.term;
             disk.votedFor = write.votedFor;
@@ -212,48 +221,49 @@
         }
         entries.insert(entries.end(), write.entries.begin(), write.entries.end());
     }
-    void carry(std::size_t from, proto::RaftMessage message) {
+    void send(std::size_t from, proto::RaftMessage message) {
         const std::size_t to = std::stoul(message.to().address());
         const std::size_t bytes = message.ByteSizeLong();
         largestMessage_ = std::max(largestMessage_, bytes);
         snapshotBytes_ += message.chunk().data().size();
-        Route& route = routes_[{from, to}];
-        route.freeAt = std::max(route.freeAt, now_) +
-                       static_cast<Micros>(static_cast<double>(bytes) / route.bytesPerSecond * 1e6);
-        carried_.push(
-            {route.freeAt + route.latency, ++order_, machines_[to].incarnation, std::move(message)});
+        Link& link = links_[{from, to}];
+        link.idleAt = std::max(link.idleAt, now_) +
+                      static_cast<Micros>(static_cast<double>(bytes) / link.bytesPerSecond * 1e6);
+        inFlight_.push({link.idleAt + link.latency, ++order_, machines_[to].incarnation, std::move(message)});
     }
     void deliver() {
-        const Carried carried = carried_.top();
-        carried_.pop();
-        const std::size_t to = std::stoul(carried.message.to().address());
-        Machine& m = machines_[to];
-        if (!m.replica || m.incarnation != carried.incarnation) return;
-        const auto kind = carried.message.kind();
+        const InFlightMessage inFlight = inFlight_.top();
+        inFlight_.pop();
+        const std::size_t to = std::stoul(inFlight.message.to().address());
+        Machine& machine = machines_[to];
+        if (!machine.replica || machine.incarnation != inFlight.incarnation) return;
+        const auto kind = inFlight.message.kind();
         if (kind == proto::RaftMessage::APPEND || kind == proto::RaftMessage::INSTALL) {
-            m.longestSilence = std::max(m.longestSilence, now_ - m.lastLeaderMessage);
-            m.lastLeaderMessage = now_;
+            machine.longestSilence = std::max(machine.longestSilence, now_ - machine.lastLeaderMessage);
+            machine.lastLeaderMessage = now_;
         }
-        m.replica->receive(now_, carried.message);
-        turn(to);
+        machine.replica->receive(now_, inFlight.message);
+        processReady(to);
     }
 
     Load load_;
     Settings settings_;
     Micros now_ = 0, changeDue_ = 0;
     std::vector<Machine> machines_;
-    std::map<std::pair<std::size_t, std::size_t>, Route> routes_;
-    std::priority_queue<Carried> carried_;
+    std::map<std::pair<std::size_t, std::size_t>, Link> links_;
+    std::priority_queue<InFlightMessage> inFlight_;
     std::uint64_t order_ = 0;
-    std::map<Micros, Index> acked_;
+    std::map<Micros, Index> acknowledged_;
     std::size_t largestMessage_ = 0, snapshotBytes_ = 0;
 };
 
-void figure(const char* what, const Load& load, Micros took, const Deployment& all, std::size_t k) {
+void printResult(const char* what, const Load& load, Micros took, const Deployment& deployment,
+                 std::size_t k) {
     if (std::getenv("MARLDALE_RAFT_FIGURES") == nullptr) return;
-    std::cout << what << ", " << load.name << ": caught up in " << took / 1000 << " ms, " << all.installs(k)
-              << " installs, the leader silent for " << all.longestSilence(k) / 1000
-              << " ms at most, largest message " << all.largestMessage() << " bytes\n";
+    std::cout << what << ", " << load.name << ": caught up in " << took / 1000 << " ms, "
+              << deployment.installs(k) << " installs, leader silence of "
+              << deployment.longestSilence(k) / 1000 << " ms at most, largest message "
+              << deployment.largestMessage() << " bytes\n";
 }
 
 const std::vector<Load>& loads() {
@@ -268,104 +278,104 @@
 
 }  // namespace
 
-TEST_CASE("A restarted member catches up while 20 changes a second come", "[raft][catchup]") {
+TEST_CASE("A restarted member catches up during 20 changes per second", "[raft][catchup]") {
     const Load load = GENERATE(from_range(loads()));
     CAPTURE(load.name);
-    Deployment all(load);
-    all.run(12 * kSecond);
-    const std::size_t behind = all.follower();
-    all.stop(behind);
-    all.run(20 * kSecond);
-    all.start(behind);
-    const Micros took = all.catchUp(behind, 300 * kMs, 10 * kSecond);
-    figure("restarted", load, took, all, behind);
+    Deployment deployment(load);
+    deployment.run(12 * kSecond);
+    const std::size_t behind = deployment.follower();
+    deployment.stop(behind);
+    deployment.run(20 * kSecond);
+    deployment.start(behind);
+    const Micros took = deployment.catchUp(behind, 300 * kMs, 10 * kSecond);
+    printResult("restarted", load, took, deployment, behind);
     CHECK(took >= 0);
     CHECK(took <= 2500 * kMs);
-    CHECK(all.acknowledged() > 500);
+    CHECK(deployment.acknowledged() > 500);
 }
 
-TEST_CASE("A wiped member catches up while 20 changes a second come", "[raft][catchup]") {
+TEST_CASE("A wiped member catches up during 20 changes per second", "[raft][catchup]") {
     const Load load = GENERATE(from_range(loads()));
     CAPTURE(load.name);
-    Deployment all(load);
-    all.run(20 * kSecond);
-    const std::size_t behind = all.follower();
-    all.stop(behind);
-    all.wipe(behind);
-    all.run(kSecond);
-    all.start(behind);
-    const Micros took = all.catchUp(behind, 300 * kMs, 10 * kSecond);
-    figure("wiped", load, took, all, behind);
+    Deployment deployment(load);
+    deployment.run(20 * kSecond);
+    const std::size_t behind = deployment.follower();
+    deployment.stop(behind);
+    deployment.wipe(behind);
+    deployment.run(kSecond);
+    deployment.start(behind);
+    const Micros took = deployment.catchUp(behind, 300 * kMs, 10 * kSecond);
+    printResult("wiped", load, took, deployment, behind);
     CHECK(took >= 0);
     CHECK(took <= 2500 * kMs);
-    CHECK(all.installs(behind) >= 1);
-    CHECK(all.installs(behind) <= 2);
+    CHECK(deployment.installs(behind) >= 1);
+    CHECK(deployment.installs(behind) <= 2);
 }
 
-TEST_CASE("A wiped member catches up over a slow link while changes go on", "[raft][catchup]") {
+TEST_CASE("A wiped member catches up over a slow link while changes continue", "[raft][catchup]") {
     const auto load = GENERATE(Load{"state 200 kB, changes 2 kB", 200000, 2000, 50 * kMs, {}},
                                Load{"state 1 MB, changes 10 kB", 1000000, 10000, 50 * kMs, {}},
                                Load{"state 8 MB, changes 2 kB", 8000000, 2000, 50 * kMs, {}});
     CAPTURE(load.name);
-    Deployment all(load);
-    all.run(20 * kSecond);
-    const std::size_t behind = all.follower();
-    all.stop(behind);
-    all.wipe(behind);
-    all.slow(behind, 100 * kMs, 1e6);  // 8 Mbit a second
-    all.run(kSecond);
-    all.start(behind);
-    const Micros took = all.catchUp(behind, kSecond, 60 * kSecond);
-    figure("wiped, slow link", load, took, all, behind);
-    // The state's time on the link, once; and twice that for answers, changes and the log behind it.
+    Deployment deployment(load);
+    deployment.run(20 * kSecond);
+    const std::size_t behind = deployment.follower();
+    deployment.stop(behind);
+    deployment.wipe(behind);
+    deployment.slowLinks(behind, 100 * kMs, 1e6);  // 8 Mbit a second
+    deployment.run(kSecond);
+    deployment.start(behind);
+    const Micros took = deployment.catchUp(behind, kSecond, 60 * kSecond);
+    printResult("wiped, slow link", load, took, deployment, behind);
+    // Once the transfer time of the state, plus twice that for responses, changes and the log after it.
     const auto stateTime = static_cast<Micros>(load.stateBytes);
     CHECK(took >= 0);
     CHECK(took <= 3 * stateTime + 5 * kSecond);
-    CHECK(all.installs(behind) <= 2);
-    CHECK(all.longestSilence(behind) <= 1200 * kMs);
-    CHECK(all.largestMessage() <= (std::size_t{256} << 10U) + 4096);
+    CHECK(deployment.installs(behind) <= 2);
+    CHECK(deployment.longestSilence(behind) <= 1200 * kMs);
+    CHECK(deployment.largestMessage() <= (std::size_t{256} << 10U) + 4096);
 }
 
-TEST_CASE("Without the log kept for a follower, snapshots follow snapshots", "[raft][catchup]") {
-    const bool planted = GENERATE(false, true);
-    // The transfer takes longer than three snapshots of the leader are apart.
+TEST_CASE("Without the log retained for a follower, it needs one snapshot after another", "[raft][catchup]") {
+    const bool faulty = GENERATE(false, true);
+    // The transfer takes longer than three snapshot intervals of the leader.
     Load load{"state 2 MB, changes 2 kB", 2000000, 2000, 50 * kMs, {}};
-    load.faults.trimsUnderFollowers = planted;
-    Deployment all(load);
-    all.run(20 * kSecond);
-    const std::size_t behind = all.follower();
-    all.stop(behind);
-    all.wipe(behind);
-    all.slow(behind, 20 * kMs, 2e5);
-    all.start(behind);
-    const Micros took = all.catchUp(behind, kSecond, 60 * kSecond);
-    figure(planted ? "planted" : "kept", load, took, all, behind);
-    CHECK((took >= 0) == !planted);
+    load.faults.trimsUnderFollowers = faulty;
+    Deployment deployment(load);
+    deployment.run(20 * kSecond);
+    const std::size_t behind = deployment.follower();
+    deployment.stop(behind);
+    deployment.wipe(behind);
+    deployment.slowLinks(behind, 20 * kMs, 2e5);
+    deployment.start(behind);
+    const Micros took = deployment.catchUp(behind, kSecond, 60 * kSecond);
+    printResult(faulty ? "not retained" : "retained", load, took, deployment, behind);
+    CHECK((took >= 0) == !faulty);
 }
 
-// The vote of the member that is behind is needed, and it is given to the one that is ahead.
-TEST_CASE("A member that is behind doesn't lead when the leader goes, and its transfer goes on",
+// The vote of the member that is behind is needed, and it goes to the up-to-date member.
+TEST_CASE("A member that is behind does not lead after the loss of the leader, and its transfer resumes",
           "[raft][catchup]") {
     const Load load{"state 8 MB, changes 2 kB", 8000000, 2000, 50 * kMs, {}};
-    Deployment all(load);
-    all.run(2 * kSecond);
-    const std::size_t behind = all.follower();
-    all.stop(behind);
-    all.run(40 * kSecond);
-    all.slow(behind, 50 * kMs, 2e6);
-    all.start(behind);
-    all.run(2 * kSecond);
-    const std::size_t first = all.leader();
+    Deployment deployment(load);
+    deployment.run(2 * kSecond);
+    const std::size_t behind = deployment.follower();
+    deployment.stop(behind);
+    deployment.run(40 * kSecond);
+    deployment.slowLinks(behind, 50 * kMs, 2e6);
+    deployment.start(behind);
+    deployment.run(2 * kSecond);
+    const std::size_t first = deployment.leader();
     CHECK(first != behind);
-    all.stop(first);
+    deployment.stop(first);
     Micros took = 0;
     for (Micros age = -1; took < 20 * kSecond && (age < 0 || age > kSecond); took += 10 * kMs) {
-        all.run(10 * kMs);
-        CHECK_FALSE(all.leads(behind));
-        age = all.contactAge(behind);
+        deployment.run(10 * kMs);
+        CHECK_FALSE(deployment.leads(behind));
+        age = deployment.contactAge(behind);
     }
-    figure("leader lost", load, took, all, behind);
+    printResult("leader lost", load, took, deployment, behind);
     CHECK(took < 8 * kSecond);
-    // Both leaders have the same snapshot, so nearly all of it went over the link once.
-    CHECK(all.snapshotBytes() < load.stateBytes + load.stateBytes / 8);
+    // Both leaders have the same snapshot, so almost all of it was transferred only once.
+    CHECK(deployment.snapshotBytes() < load.stateBytes + load.stateBytes / 8);
 }
