--- a/tests/gateway/raft_replica_test.cpp
+++ b/tests/gateway/raft_replica_test.cpp
@@ -1,4 +1,5 @@
-// Single situations of the replica, each driven by hand: who hears whom, whose disk answers.
+// Tests of the replica in single scenarios. Each test controls which nodes can communicate and whose disk
+// responds.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <map>
@@ -14,43 +15,44 @@
 
 namespace {
 
-struct Table {
-    struct Seat {
+// Replicas in one process with instant message delivery.
+struct Cluster {
+    struct Node {
         std::unique_ptr<Replica> replica;
-        std::vector<Write> waiting;  // while its disk hangs
-        bool hangs = false;
+        std::vector<Write> pendingWrites;  // while its disk is stalled
+        bool diskStalled = false;
         std::map<Index, Term> applied;
         std::vector<ReadResult> reads;
         std::vector<Event> events;
-        std::vector<Micros> changesProposedAt;  // of membership
+        std::vector<Micros> changesProposedAt;  // membership changes
         std::size_t messages = 0, ticks = 0;
     };
-    std::vector<Seat> seats;
+    std::vector<Node> nodes;
     Micros now = 0;
-    std::set<std::size_t> together;  // those that hear one another
-    std::function<bool(const proto::RaftMessage&)> passes = [](const auto&) { return true; };
+    std::set<std::size_t> connected;  // nodes that can communicate with each other
+    std::function<bool(const proto::RaftMessage&)> isDelivered = [](const auto&) { return true; };
 
-    explicit Table(std::size_t count, Settings settings = {}) : seats(count) {
+    explicit Cluster(std::size_t count, Settings settings = {}) : nodes(count) {
         for (std::size_t k = 0; k < count; ++k) settings.seeds.push_back(std::to_string(k));
         for (std::size_t k = 0; k < count; ++k) {
             PersistentState stored;
             stored.self.set_address(std::to_string(k));
             settings.seed = k + 1;
-            seats[k].replica = std::make_unique<Replica>(settings, stored, now);
-            together.insert(k);
+            nodes[k].replica = std::make_unique<Replica>(settings, stored, now);
+            connected.insert(k);
         }
     }
-    // An empty machine at an address of its own.
+    // Adds an empty machine with a new address.
     std::size_t addLearner(Settings settings = {}) {
-        const std::size_t k = seats.size();
-        for (std::size_t seed = 0; seed < 3; ++seed) settings.seeds.push_back(std::to_string(seed));
+        const std::size_t k = nodes.size();
+        for (std::size_t id = 0; id < 3; ++id) settings.seeds.push_back(std::to_string(id));
         PersistentState stored;
         stored.self.set_address(std::to_string(k));
         stored.self.set_number(1000 + k);
         settings.seed = k + 1;
-        seats.emplace_back();
-        seats[k].replica = std::make_unique<Replica>(settings, stored, now);
-        together.insert(k);
+        nodes.emplace_back();
+        nodes[k].replica = std::make_unique<Replica>(settings, stored, now);
+        connected.insert(k);
         return k;
     }
     bool isVoter(std::size_t k) {
@@ -60,15 +62,15 @@
     }
     std::size_t countEvents(EventKind kind) const {
         std::size_t count = 0;
-        for (const auto& seat : seats)
-            for (const auto& event : seat.events) count += event.kind == kind ? 1 : 0;
+        for (const auto& node : nodes)
+            for (const auto& event : node.events) count += event.kind == kind ? 1 : 0;
         return count;
     }
-    // The most changes of membership that were proposed within the span, whoever led.
+    // The largest number of membership changes proposed within `span` by all leaders together.
     std::size_t mostChangesWithin(Micros span) const {
         std::multiset<Micros> times;
-        for (const auto& seat : seats)
-            times.insert(seat.changesProposedAt.begin(), seat.changesProposedAt.end());
+        for (const auto& node : nodes)
+            times.insert(node.changesProposedAt.begin(), node.changesProposedAt.end());
         std::size_t most = 0;
         for (auto first = times.begin(); first != times.end(); ++first) {
             const auto end = times.lower_bound(*first + span);
@@ -76,31 +78,32 @@
         }
         return most;
     }
-    void flush(std::size_t k) {
-        auto& s = seats[k];
-        for (; !s.waiting.empty() && !s.hangs; s.waiting.erase(s.waiting.begin()))
-            s.replica->persisted(now, s.waiting.front().number);
+    void completeWrites(std::size_t k) {
+        auto& node = nodes[k];
+        for (; !node.pendingWrites.empty() && !node.diskStalled;
+             node.pendingWrites.erase(node.pendingWrites.begin()))
+            node.replica->persisted(now, node.pendingWrites.front().number);
     }
     void settle() {
-        for (bool moved = true; moved;) {
-            moved = false;
-            for (std::size_t k = 0; k < seats.size(); ++k) {
-                auto ready = seats[k].replica->take();
-                for (auto& w : ready.writes) seats[k].waiting.push_back(std::move(w));
-                moved = moved || (!seats[k].waiting.empty() && !seats[k].hangs);
-                flush(k);
-                for (const auto& e : ready.committed) seats[k].applied[e.index()] = e.term();
-                seats[k].reads.insert(seats[k].reads.end(), ready.reads.begin(), ready.reads.end());
-                seats[k].events.insert(seats[k].events.end(), ready.events.begin(), ready.events.end());
+        for (bool progressed = true; progressed;) {
+            progressed = false;
+            for (std::size_t k = 0; k < nodes.size(); ++k) {
+                auto ready = nodes[k].replica->take();
+                for (auto& write : ready.writes) nodes[k].pendingWrites.push_back(std::move(write));
+                progressed = progressed || (!nodes[k].pendingWrites.empty() && !nodes[k].diskStalled);
+                completeWrites(k);
+                for (const auto& entry : ready.committed) nodes[k].applied[entry.index()] = entry.term();
+                nodes[k].reads.insert(nodes[k].reads.end(), ready.reads.begin(), ready.reads.end());
+                nodes[k].events.insert(nodes[k].events.end(), ready.events.begin(), ready.events.end());
                 for (const auto& event : ready.events)
                     if (event.kind == EventKind::membershipProposed)
-                        seats[k].changesProposedAt.push_back(now);
+                        nodes[k].changesProposedAt.push_back(now);
                 for (const auto& m : ready.messages) {
-                    ++seats[k].messages;
+                    ++nodes[k].messages;
                     const std::size_t to = std::stoul(m.to().address());
-                    if (together.count(k) == 0 || together.count(to) == 0 || !passes(m)) continue;
-                    moved = true;
-                    seats[to].replica->receive(now, m);
+                    if (connected.count(k) == 0 || connected.count(to) == 0 || !isDelivered(m)) continue;
+                    progressed = true;
+                    nodes[to].replica->receive(now, m);
                 }
             }
         }
@@ -109,291 +112,290 @@
         settle();
         for (const Micros end = now + span; now < end;) {
             Micros due = end;
-            for (const auto& s : seats) due = std::min(due, s.replica->nextDue());
+            for (const auto& node : nodes) due = std::min(due, node.replica->nextDue());
             now = std::max(now + 1, due);
-            for (auto& s : seats) {
-                if (s.replica->nextDue() > now) continue;
-                ++s.ticks;
-                s.replica->tick(now);
+            for (auto& node : nodes) {
+                if (node.replica->nextDue() > now) continue;
+                ++node.ticks;
+                node.replica->tick(now);
             }
             settle();
         }
     }
     std::size_t leader() {
-        for (const auto k : together)
-            if (seats[k].replica->leads()) return k;
-        return seats.size();
+        for (const auto k : connected)
+            if (nodes[k].replica->leads()) return k;
+        return nodes.size();
     }
-    std::size_t elected(std::set<std::size_t> among) {
-        together = std::move(among);
-        for (int k = 0; k < 100 && leader() == seats.size(); ++k) run(100000);
-        REQUIRE(leader() < seats.size());
+    std::size_t electLeader(std::set<std::size_t> among) {
+        connected = std::move(among);
+        for (int k = 0; k < 100 && leader() == nodes.size(); ++k) run(100000);
+        REQUIRE(leader() < nodes.size());
         return leader();
     }
-    Replica& at(std::size_t k) { return *seats[k].replica; }
+    Replica& at(std::size_t k) { return *nodes[k].replica; }
 };
 
 }  // namespace
 
-// The fifth section's figure 8 of the paper: an entry of an old term on a majority's disks may still be
-// overwritten.
-TEST_CASE("An entry of an old term is committed only by one of the leader's own", "[raft]") {
-    const bool planted = GENERATE(false, true);
+// Figure 8 of the Raft paper: an entry of an earlier term that is on a majority of the disks may still be
+// overwritten, so a leader commits it only together with an entry of its own term.
+TEST_CASE("An entry of an earlier term is committed only through an entry of the leader's term", "[raft]") {
+    const bool faulty = GENERATE(false, true);
     Settings settings;
-    settings.batchBytes = 1;
-    settings.faults.commitsOldTerms = planted;
-    Table table(5, settings);
-    const std::size_t first = table.elected({0, 1, 2, 3, 4});
+    settings.maxBatchBytes = 1;
+    settings.faults.commitsOldTerms = faulty;
+    Cluster cluster(5, settings);
+    const std::size_t first = cluster.electLeader({0, 1, 2, 3, 4});
     std::vector<std::size_t> others;
     for (std::size_t k = 0; k < 5; ++k)
         if (k != first) others.push_back(k);
     // An entry on two disks.
-    table.together = {first, others[0]};
-    const auto entry = table.at(first).propose(table.now, "x");
+    cluster.connected = {first, others[0]};
+    const auto entry = cluster.at(first).propose(cluster.now, "x");
     REQUIRE(entry);
-    table.settle();
-    // Another leader, whose own first entry reaches nobody.
-    table.passes = [](const auto& m) { return m.entries().empty(); };
-    const std::size_t second = table.elected({others[1], others[2], others[3]});
-    const Term secondTerm = table.at(second).term();
-    // A third one, which brings the old entry to a third disk, but no entry of its own.
-    table.together = {};
-    table.run(3000000);
+    cluster.settle();
+    // A second leader whose first entry reaches no other node.
+    cluster.isDelivered = [](const auto& m) { return m.entries().empty(); };
+    const std::size_t second = cluster.electLeader({others[1], others[2], others[3]});
+    const Term secondTerm = cluster.at(second).term();
+    // A third leader, which replicates the old entry to a third disk but no entry of its own term.
+    cluster.connected = {};
+    cluster.run(3000000);
     std::set<std::size_t> rest{first, others[0]};
     for (std::size_t k = 1; k < 4; ++k)
         if (others[k] != second) rest.insert(others[k]);
-    table.passes = [&](const auto& m) {
+    cluster.isDelivered = [&](const auto& m) {
         return m.entries().empty() || m.entries(m.entries_size() - 1).term() < secondTerm;
     };
-    const std::size_t third = table.elected(rest);
+    const std::size_t third = cluster.electLeader(rest);
     REQUIRE((third == first || third == others[0]));
-    table.run(1000000);
-    CHECK((table.at(third).committed() >= *entry) == planted);
-    // And the second may yet lead again.
-    table.together = {};
-    table.run(3000000);
-    table.passes = [](const auto&) { return true; };
+    cluster.run(1000000);
+    CHECK((cluster.at(third).committed() >= *entry) == faulty);
+    // The second leader may be elected again.
+    cluster.connected = {};
+    cluster.run(3000000);
+    cluster.isDelivered = [](const auto&) { return true; };
     rest.erase(first);
     rest.erase(others[0]);
     rest.insert(second);
-    setInvariantHandler([](const char* sentence) { throw std::logic_error(sentence); });
-    if (planted) {  // it overwrites what was committed
-        CHECK_THROWS_WITH(table.elected(rest), Catch::Contains("committed"));
+    setInvariantHandler([](const char* message) { throw std::logic_error(message); });
+    if (faulty) {  // it overwrites a committed entry
+        CHECK_THROWS_WITH(cluster.electLeader(rest), Catch::Contains("committed"));
         setInvariantHandler(nullptr);
         return;
     }
-    CHECK(table.elected(rest) == second);
-    table.run(1000000);
+    CHECK(cluster.electLeader(rest) == second);
+    cluster.run(1000000);
     setInvariantHandler(nullptr);
-    const auto there = table.seats[second].applied.find(*entry);
-    REQUIRE(there != table.seats[second].applied.end());
-    CHECK(there->second == secondTerm);
+    const auto overwritten = cluster.nodes[second].applied.find(*entry);
+    REQUIRE(overwritten != cluster.nodes[second].applied.end());
+    CHECK(overwritten->second == secondTerm);
 }
 
-TEST_CASE("A leader whose disk hangs commits through the others' disks", "[raft]") {
-    Table table(3);
-    const std::size_t first = table.elected({0, 1, 2});
-    table.run(200000);
-    table.seats[first].hangs = true;
-    const auto entry = table.at(first).propose(table.now, "x");
+TEST_CASE("A leader with a stalled disk commits through the disks of the others", "[raft]") {
+    Cluster cluster(3);
+    const std::size_t first = cluster.electLeader({0, 1, 2});
+    cluster.run(200000);
+    cluster.nodes[first].diskStalled = true;
+    const auto entry = cluster.at(first).propose(cluster.now, "x");
     REQUIRE(entry);
-    table.settle();
-    CHECK(table.at(first).committed() == *entry);
-    CHECK(table.seats[first].applied.count(*entry) == 1);
-    table.run(5000000);
-    CHECK(table.at(first).leads());
-    // With a second one hanging nothing is committed, and nothing said.
-    table.seats[(first + 1) % 3].hangs = true;
-    const auto more = table.at(first).propose(table.now, "y");
+    cluster.settle();
+    CHECK(cluster.at(first).committed() == *entry);
+    CHECK(cluster.nodes[first].applied.count(*entry) == 1);
+    cluster.run(5000000);
+    CHECK(cluster.at(first).leads());
+    // With a second stalled disk nothing is committed or acknowledged.
+    cluster.nodes[(first + 1) % 3].diskStalled = true;
+    const auto more = cluster.at(first).propose(cluster.now, "y");
     REQUIRE(more);
-    table.run(1000000);
-    CHECK(table.at(first).committed() == *entry);
-    table.seats[(first + 1) % 3].hangs = false;
-    table.settle();
-    CHECK(table.at(first).committed() == *more);
+    cluster.run(1000000);
+    CHECK(cluster.at(first).committed() == *entry);
+    cluster.nodes[(first + 1) % 3].diskStalled = false;
+    cluster.settle();
+    CHECK(cluster.at(first).committed() == *more);
 }
 
-TEST_CASE("One whose disk hangs doesn't run up its term", "[raft]") {
-    Table table(3);
-    const std::size_t first = table.elected({0, 1, 2});
-    const Term term = table.at(first).term();
+TEST_CASE("A replica with a stalled disk does not keep raising its term", "[raft]") {
+    Cluster cluster(3);
+    const std::size_t first = cluster.electLeader({0, 1, 2});
+    const Term term = cluster.at(first).term();
     const std::size_t other = (first + 1) % 3;
-    table.seats[other].hangs = true;
-    REQUIRE(table.at(first).propose(table.now, "x"));
-    table.settle();
-    table.together = {other, (first + 2) % 3};
-    table.seats[(first + 2) % 3].hangs = true;
-    table.run(20000000);
-    CHECK(table.at(other).term() <= term + 1);
-    CHECK(table.at((first + 2) % 3).term() <= term + 1);
+    cluster.nodes[other].diskStalled = true;
+    REQUIRE(cluster.at(first).propose(cluster.now, "x"));
+    cluster.settle();
+    cluster.connected = {other, (first + 2) % 3};
+    cluster.nodes[(first + 2) % 3].diskStalled = true;
+    cluster.run(20000000);
+    CHECK(cluster.at(other).term() <= term + 1);
+    CHECK(cluster.at((first + 2) % 3).term() <= term + 1);
 }
 
-TEST_CASE("Nobody is woken more often than the heartbeat asks", "[raft]") {
-    Table table(3);
-    const std::size_t first = table.elected({0, 1, 2});
-    table.run(1000000);
-    for (auto& s : table.seats) s.messages = s.ticks = 0;
-    table.run(15000000);
-    CHECK(table.leader() == first);
+TEST_CASE("Replicas wake up and send no more often than the heartbeat requires", "[raft]") {
+    Cluster cluster(3);
+    const std::size_t first = cluster.electLeader({0, 1, 2});
+    cluster.run(1000000);
+    for (auto& node : cluster.nodes) node.messages = node.ticks = 0;
+    cluster.run(15000000);
+    CHECK(cluster.leader() == first);
     for (std::size_t k = 0; k < 3; ++k) {
-        CHECK(table.at(k).quorumContactAge(table.now) <= 2 * Settings().heartbeat);
-        CHECK(table.seats[k].ticks <= (k == first ? 101 : 0));
-        CHECK(table.seats[k].messages <= (k == first ? 202 : 101));
+        CHECK(cluster.at(k).quorumContactAge(cluster.now) <= 2 * Settings().heartbeat);
+        CHECK(cluster.nodes[k].ticks <= (k == first ? 101 : 0));
+        CHECK(cluster.nodes[k].messages <= (k == first ? 202 : 101));
     }
 }
 
-TEST_CASE("The lead is handed over at once, and back", "[raft]") {
-    Table table(3);
-    const std::size_t first = table.elected({0, 1, 2});
-    table.run(200000);
-    table.at(first).transferLeadership(table.now);
-    table.settle();
-    const std::size_t second = table.leader();
+TEST_CASE("Leadership is transferred at once, and back", "[raft]") {
+    Cluster cluster(3);
+    const std::size_t first = cluster.electLeader({0, 1, 2});
+    cluster.run(200000);
+    cluster.at(first).transferLeadership(cluster.now);
+    cluster.settle();
+    const std::size_t second = cluster.leader();
     REQUIRE(second < 3);
     CHECK(second != first);
-    CHECK_FALSE(table.at(first).leads());
-    CHECK(table.at(first).leader()->address() == std::to_string(second));
-    CHECK(table.at(second).propose(table.now, "x"));
-    // Alone, nothing is handed over, and after a while it takes proposals again.
-    table.together = {second};
-    table.run(700000);
-    table.at(second).transferLeadership(table.now);
-    table.settle();
-    CHECK_FALSE(table.at(second).propose(table.now, "y"));
-    table.together = {0, 1, 2};
-    table.run(3000000);
-    REQUIRE(table.leader() < 3);
-    CHECK(table.at(table.leader()).propose(table.now, "z"));
+    CHECK_FALSE(cluster.at(first).leads());
+    CHECK(cluster.at(first).leader()->address() == std::to_string(second));
+    CHECK(cluster.at(second).propose(cluster.now, "x"));
+    // An isolated leader cannot transfer leadership; proposals are accepted again later.
+    cluster.connected = {second};
+    cluster.run(700000);
+    cluster.at(second).transferLeadership(cluster.now);
+    cluster.settle();
+    CHECK_FALSE(cluster.at(second).propose(cluster.now, "y"));
+    cluster.connected = {0, 1, 2};
+    cluster.run(3000000);
+    REQUIRE(cluster.leader() < 3);
+    CHECK(cluster.at(cluster.leader()).propose(cluster.now, "z"));
 }
 
-TEST_CASE("One that was cut off disturbs nobody when it returns", "[raft]") {
-    Table table(3);
-    const std::size_t first = table.elected({0, 1, 2});
-    const Term term = table.at(first).term();
-    table.together = {first, (first + 1) % 3};
-    table.run(10000000);
-    table.together = {0, 1, 2};
-    table.run(3000000);
-    CHECK(table.leader() == first);
-    CHECK(table.at(first).term() == term);
-    CHECK(table.at((first + 2) % 3).leader()->address() == std::to_string(first));
+TEST_CASE("A replica that was isolated causes no election when it returns", "[raft]") {
+    Cluster cluster(3);
+    const std::size_t first = cluster.electLeader({0, 1, 2});
+    const Term term = cluster.at(first).term();
+    cluster.connected = {first, (first + 1) % 3};
+    cluster.run(10000000);
+    cluster.connected = {0, 1, 2};
+    cluster.run(3000000);
+    CHECK(cluster.leader() == first);
+    CHECK(cluster.at(first).term() == term);
+    CHECK(cluster.at((first + 2) % 3).leader()->address() == std::to_string(first));
 }
 
-TEST_CASE("A leader cut off gives up its reads and its lead", "[raft]") {
-    Table table(3);
-    const std::size_t first = table.elected({0, 1, 2});
-    table.run(200000);
-    table.together = {(first + 1) % 3, (first + 2) % 3};
-    table.at(first).read(table.now, 5);
-    table.run(1500000);
-    CHECK_FALSE(table.at(first).leads());
-    REQUIRE(table.seats[first].reads.size() == 1);
-    CHECK_FALSE(table.seats[first].reads[0].confirmed);
-    CHECK(table.at(first).quorumContactAge(table.now) >= 1200000);
-    CHECK(table.leader() < 3);
+TEST_CASE("An isolated leader fails its reads and steps down", "[raft]") {
+    Cluster cluster(3);
+    const std::size_t first = cluster.electLeader({0, 1, 2});
+    cluster.run(200000);
+    cluster.connected = {(first + 1) % 3, (first + 2) % 3};
+    cluster.at(first).read(cluster.now, 5);
+    cluster.run(1500000);
+    CHECK_FALSE(cluster.at(first).leads());
+    REQUIRE(cluster.nodes[first].reads.size() == 1);
+    CHECK_FALSE(cluster.nodes[first].reads[0].confirmed);
+    CHECK(cluster.at(first).quorumContactAge(cluster.now) >= 1200000);
+    CHECK(cluster.leader() < 3);
 }
 
-TEST_CASE("The successor of a lost voter votes within catch_up, also of the leader", "[raft]") {
+TEST_CASE("The replacement of a lost voter or leader votes within catch_up", "[raft]") {
     const bool leaderLost = GENERATE(false, true);
-    Table table(3);
-    const std::size_t first = table.elected({0, 1, 2});
-    table.run(500000);
+    Cluster cluster(3);
+    const std::size_t first = cluster.electLeader({0, 1, 2});
+    cluster.run(500000);
     const std::size_t lost = leaderLost ? first : (first + 1) % 3;
-    table.together.erase(lost);
-    const std::size_t successor = table.addLearner();
-    table.run(Settings().catchUp);
-    REQUIRE(table.leader() < table.seats.size());
-    CHECK(table.isVoter(successor));
-    CHECK_FALSE(table.isVoter(lost));
-    CHECK(table.countEvents(EventKind::learnerCaughtUp) >= 1);
-    CHECK(table.countEvents(EventKind::membershipProposed) == 1);
-    CHECK(table.countEvents(EventKind::membershipCommitted) >= 2);
-    table.run(1000000);
-    for (const auto& peer : table.at(table.leader()).status(table.now).peers)
+    cluster.connected.erase(lost);
+    const std::size_t successor = cluster.addLearner();
+    cluster.run(Settings().catchUp);
+    REQUIRE(cluster.leader() < cluster.nodes.size());
+    CHECK(cluster.isVoter(successor));
+    CHECK_FALSE(cluster.isVoter(lost));
+    CHECK(cluster.countEvents(EventKind::learnerCaughtUp) >= 1);
+    CHECK(cluster.countEvents(EventKind::membershipProposed) == 1);
+    CHECK(cluster.countEvents(EventKind::membershipCommitted) >= 2);
+    cluster.run(1000000);
+    for (const auto& peer : cluster.at(cluster.leader()).status(cluster.now).peers)
         CHECK(peer.member.address() != std::to_string(lost));
     // The next loss leaves a majority.
-    const std::size_t second = table.leader();
-    table.together.erase(second);
-    table.run(Settings().catchUp);
-    REQUIRE(table.leader() < table.seats.size());
-    CHECK(table.at(table.leader()).propose(table.now, "x"));
-    // The one that was cut off comes back as a learner and disturbs nobody.
-    const Term term = table.at(table.leader()).term();
-    table.together.insert(lost);
-    table.run(Settings().catchUp);
-    CHECK(table.at(table.leader()).term() == term);
-    CHECK(table.at(lost).quorumContactAge(table.now) < 1000000);
+    const std::size_t second = cluster.leader();
+    cluster.connected.erase(second);
+    cluster.run(Settings().catchUp);
+    REQUIRE(cluster.leader() < cluster.nodes.size());
+    CHECK(cluster.at(cluster.leader()).propose(cluster.now, "x"));
+    // The replica that was isolated returns as a learner and causes no election.
+    const Term term = cluster.at(cluster.leader()).term();
+    cluster.connected.insert(lost);
+    cluster.run(Settings().catchUp);
+    CHECK(cluster.at(cluster.leader()).term() == term);
+    CHECK(cluster.at(lost).quorumContactAge(cluster.now) < 1000000);
 }
 
-TEST_CASE("A leaving member gives its place to a learner and is released", "[raft]") {
+TEST_CASE("A leaving member is replaced by a learner and released", "[raft]") {
     const bool leaderLeaves = GENERATE(false, true);
-    Table table(3);
-    const std::size_t first = table.elected({0, 1, 2});
-    const std::size_t learner = table.addLearner();
-    table.run(1000000);
-    CHECK_FALSE(table.isVoter(learner));
+    Cluster cluster(3);
+    const std::size_t first = cluster.electLeader({0, 1, 2});
+    const std::size_t learner = cluster.addLearner();
+    cluster.run(1000000);
+    CHECK_FALSE(cluster.isVoter(learner));
     const std::size_t leaving = leaderLeaves ? first : (first + 1) % 3;
-    table.at(leaving).leave(table.now);
-    table.run(500000);
-    REQUIRE(table.leader() < table.seats.size());
-    CHECK(table.leader() != leaving);
-    CHECK(table.isVoter(learner));
-    CHECK_FALSE(table.isVoter(leaving));
-    CHECK(table.at(leaving).released());
+    cluster.at(leaving).leave(cluster.now);
+    cluster.run(500000);
+    REQUIRE(cluster.leader() < cluster.nodes.size());
+    CHECK(cluster.leader() != leaving);
+    CHECK(cluster.isVoter(learner));
+    CHECK_FALSE(cluster.isVoter(leaving));
+    CHECK(cluster.at(leaving).released());
 }
 
-TEST_CASE("A leaving member isn't released while others lack what it holds", "[raft]") {
-    const bool planted = GENERATE(false, true);
+TEST_CASE("A leaving member is not released while others lack its entries", "[raft]") {
+    const bool faulty = GENERATE(false, true);
     Settings settings;
-    settings.faults.leavesWithOnlyCopy = planted;
-    Table table(3, settings);
-    const std::size_t first = table.elected({0, 1, 2});
-    table.run(500000);
+    settings.faults.leavesWithOnlyCopy = faulty;
+    Cluster cluster(3, settings);
+    const std::size_t first = cluster.electLeader({0, 1, 2});
+    cluster.run(500000);
     const std::size_t leaving = (first + 1) % 3;
     const std::size_t behind = (first + 2) % 3;
-    table.together.erase(behind);
-    REQUIRE(table.at(first).propose(table.now, "x"));
-    table.at(leaving).leave(table.now);
-    table.run(1000000);
-    CHECK(table.at(leaving).released() == planted);
-    table.together.insert(behind);
-    table.run(1000000);
-    CHECK(table.at(leaving).released());
-    CHECK(table.isVoter(leaving));  // no learner takes its place, and it may come back
+    cluster.connected.erase(behind);
+    REQUIRE(cluster.at(first).propose(cluster.now, "x"));
+    cluster.at(leaving).leave(cluster.now);
+    cluster.run(1000000);
+    CHECK(cluster.at(leaving).released() == faulty);
+    cluster.connected.insert(behind);
+    cluster.run(1000000);
+    CHECK(cluster.at(leaving).released());
+    CHECK(cluster.isVoter(leaving));  // no learner can replace it, and it may return
 }
 
 namespace {
 
-// Each of four machines in turn is cut off for longer than the limit of silence, for a minute.
+// For one minute, isolates each of four machines in turn for longer than the silence limit.
 void checkChangesWithFlappingLinks(const Settings& settings) {
-    Table table(3, settings);
-    table.elected({0, 1, 2});
-    table.addLearner(settings);
-    table.run(1000000);
+    Cluster cluster(3, settings);
+    cluster.electLeader({0, 1, 2});
+    cluster.addLearner(settings);
+    cluster.run(1000000);
     constexpr Micros kMinute = 60000000;
-    const Micros end = table.now + kMinute;
-    for (std::size_t turn = 0; table.now < end;
-         ++turn) {  // each in turn is cut off for longer than the limit
+    const Micros end = cluster.now + kMinute;
+    for (std::size_t turn = 0; cluster.now < end; ++turn) {
         const std::size_t cut = turn % 4;
-        table.together.erase(cut);
-        table.run(2500000);
-        table.together.insert(cut);
-        table.run(500000);
+        cluster.connected.erase(cut);
+        cluster.run(2500000);
+        cluster.connected.insert(cut);
+        cluster.run(500000);
     }
     const auto most = static_cast<std::size_t>(2 * kMinute / settings.catchUp);
-    CHECK(table.countEvents(EventKind::membershipProposed) <= most);
-    table.run(15000000);
-    REQUIRE(table.leader() < table.seats.size());
-    CHECK(table.at(table.leader()).members().voters_size() == 3);
+    CHECK(cluster.countEvents(EventKind::membershipProposed) <= most);
+    cluster.run(15000000);
+    REQUIRE(cluster.leader() < cluster.nodes.size());
+    CHECK(cluster.at(cluster.leader()).members().voters_size() == 3);
 }
 
 }  // namespace
 
-TEST_CASE("Members don't come and go with their links", "[raft]") {
+TEST_CASE("Unstable links do not cause repeated membership changes", "[raft]") {
     checkChangesWithFlappingLinks(Settings());
 }
 
-TEST_CASE("With a long catch-up time members come and go even less", "[raft]") {
+TEST_CASE("A longer catch-up time allows fewer membership changes", "[raft]") {
     Settings settings;
     settings.catchUp = 10000000;
     checkChangesWithFlappingLinks(settings);
@@ -401,68 +403,68 @@
 
 namespace {
 
-// Links of any of four machines come and go at random for a minute; the most changes within `catchUp`.
+// For one minute, isolates random machines out of four. Returns the most membership changes within `catchUp`.
 std::size_t changesWithRandomLinks(std::uint64_t seed, const Settings& settings) {
-    Table table(3, settings);
-    table.elected({0, 1, 2});
-    table.addLearner(settings);
-    table.run(1000000);
+    Cluster cluster(3, settings);
+    cluster.electLeader({0, 1, 2});
+    cluster.addLearner(settings);
+    cluster.run(1000000);
     const auto draw = [&seed](Micros least, Micros most) {
         seed = marldale::bytes::mixed(seed + 0x9e3779b97f4a7c15ULL);
         return least + static_cast<Micros>(seed % static_cast<std::uint64_t>(most - least));
     };
-    const Micros end = table.now + 60000000;
-    while (table.now < end) {
-        const bool leaderIsCut = table.leader() < 4 && draw(0, 2) == 0;
-        const std::size_t cut = leaderIsCut ? table.leader() : static_cast<std::size_t>(draw(0, 4));
-        table.together.erase(cut);
-        table.run(draw(200000, 5000000));
-        table.together.insert(cut);
-        table.run(draw(50000, 1500000));
+    const Micros end = cluster.now + 60000000;
+    while (cluster.now < end) {
+        const bool leaderIsCut = cluster.leader() < 4 && draw(0, 2) == 0;
+        const std::size_t cut = leaderIsCut ? cluster.leader() : static_cast<std::size_t>(draw(0, 4));
+        cluster.connected.erase(cut);
+        cluster.run(draw(200000, 5000000));
+        cluster.connected.insert(cut);
+        cluster.run(draw(50000, 1500000));
     }
-    table.run(15000000);
-    REQUIRE(table.leader() < 4);
-    CHECK(table.at(table.leader()).members().voters_size() == 3);
-    return table.mostChangesWithin(settings.catchUp);
+    cluster.run(15000000);
+    REQUIRE(cluster.leader() < 4);
+    CHECK(cluster.at(cluster.leader()).members().voters_size() == 3);
+    return cluster.mostChangesWithin(settings.catchUp);
 }
 
 }  // namespace
 
-TEST_CASE("However links come and go, members change twice within catch_up at most", "[raft]") {
+TEST_CASE("With any pattern of link failures, members change at most twice within catch_up", "[raft]") {
     constexpr std::uint64_t kHistories = 60;
-    struct Planted {
+    struct InjectedFault {
         const char* name;
         bool Faults::*fault;
     };
-    const auto planted =
-        GENERATE(Planted{"none", nullptr}, Planted{"no limit", &Faults::replacesWithoutLimit},
-                 Planted{"others' changes forgotten", &Faults::forgetsOthersChanges});
+    const auto injected =
+        GENERATE(InjectedFault{"none", nullptr}, InjectedFault{"no limit", &Faults::replacesWithoutLimit},
+                 InjectedFault{"changes of other leaders ignored", &Faults::forgetsOthersChanges});
     std::size_t most = 0;
     for (std::uint64_t seed = 1; seed <= kHistories; ++seed) {
         Settings settings;
         settings.catchUp = static_cast<Micros>(4 + 2 * (seed % 4)) * 1000000;
-        if (planted.fault != nullptr) settings.faults.*planted.fault = true;
+        if (injected.fault != nullptr) settings.faults.*injected.fault = true;
         most = std::max(most, changesWithRandomLinks(seed, settings));
     }
-    INFO(planted.name << ": " << most);
-    if (planted.fault == nullptr) {
+    INFO(injected.name << ": " << most);
+    if (injected.fault == nullptr) {
         CHECK(most <= 2);
     } else {
         CHECK(most > 2);
     }
 }
 
-TEST_CASE("A leader that thaws takes nothing before a majority has answered", "[raft]") {
-    Table table(3);
-    const std::size_t first = table.elected({0, 1, 2});
-    table.run(500000);
-    table.now += 20000000;  // its process was frozen
-    CHECK(table.at(first).quorumContactAge(table.now) >= 20000000);
-    CHECK_FALSE(table.at(first).propose(table.now, "x"));
-    CHECK_FALSE(table.at(first).leads());
-    table.at(first).read(table.now, 7);
-    table.settle();
-    REQUIRE(table.seats[first].reads.size() == 1);
-    CHECK_FALSE(table.seats[first].reads[0].confirmed);
-    CHECK(table.countEvents(EventKind::quorumLost) == 1);
+TEST_CASE("A leader that was suspended accepts nothing before a majority has responded", "[raft]") {
+    Cluster cluster(3);
+    const std::size_t first = cluster.electLeader({0, 1, 2});
+    cluster.run(500000);
+    cluster.now += 20000000;  // its process was suspended
+    CHECK(cluster.at(first).quorumContactAge(cluster.now) >= 20000000);
+    CHECK_FALSE(cluster.at(first).propose(cluster.now, "x"));
+    CHECK_FALSE(cluster.at(first).leads());
+    cluster.at(first).read(cluster.now, 7);
+    cluster.settle();
+    REQUIRE(cluster.nodes[first].reads.size() == 1);
+    CHECK_FALSE(cluster.nodes[first].reads[0].confirmed);
+    CHECK(cluster.countEvents(EventKind::quorumLost) == 1);
 }
--- a/tests/gateway/raft_store_test.cpp
+++ b/tests/gateway/raft_store_test.cpp
@@ -1,4 +1,4 @@
-// The raft's disk, and replicas over real disks.
+// Tests of the persistent store, and of replicas with real stores.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -21,6 +21,7 @@
 
 namespace {
 
+// A temporary folder, removed at the end.
 struct Folder {
     std::filesystem::path path;
     Folder() {
@@ -40,38 +41,38 @@
     return e;
 }
 
-Write entries(Index from, Index through, std::size_t size) {
-    Write w;
+Write writeOfEntries(Index from, Index through, std::size_t size) {
+    Write write;
     for (Index i = from; i <= through; ++i)
-        w.entries.push_back(entry(1, i, std::string(size, static_cast<char>('a' + i % 26))));
-    return w;
+        write.entries.push_back(entry(1, i, std::string(size, static_cast<char>('a' + i % 26))));
+    return write;
 }
 
-std::unique_ptr<Store> opened(const std::string& folder, bool firstRun = true, bool seed = true,
-                              std::size_t mapBytes = std::size_t{16} << 20U) {
+std::unique_ptr<Store> openStore(const std::string& folder, bool firstRun = true, bool seed = true,
+                                 std::size_t mapBytes = std::size_t{16} << 20U) {
     auto store = Store::open(folder, "10.0.0.1:7540", firstRun, seed, mapBytes);
     INFO(store.status());
     REQUIRE(store.ok());
     return std::move(*store);
 }
 
-std::string content(const std::string& path) {
+std::string readFile(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
 }
-void content(const std::string& path, const std::string& bytes) {
+void writeFile(const std::string& path, const std::string& bytes) {
     std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
 }
 
-PersistentState loaded(const Store& store) {
+PersistentState loadState(const Store& store) {
     auto stored = store.load();
     INFO(stored.status());
     REQUIRE(stored.ok());
     return std::move(*stored);
 }
 
-// What this process has handed to the system for writing.
-std::uint64_t writtenByProcess() {
+// Bytes that this process has passed to write system calls.
+std::uint64_t bytesWrittenByProcess() {
     std::ifstream in("/proc/self/io");
     std::string name;
     std::uint64_t bytes = 0;
@@ -84,26 +85,26 @@
 
 TEST_CASE("A machine's number is drawn once", "[raft]") {
     const Folder folder;
-    CHECK(loaded(*opened(folder.under("seed"))).self.number() == 0);
-    CHECK(loaded(*opened(folder.under("seed"), false, false)).self.number() == 0);
-    const auto number = loaded(*opened(folder.under("late"), true, false)).self.number();
+    CHECK(loadState(*openStore(folder.under("seed"))).self.number() == 0);
+    CHECK(loadState(*openStore(folder.under("seed"), false, false)).self.number() == 0);
+    const auto number = loadState(*openStore(folder.under("late"), true, false)).self.number();
     CHECK(number != 0);
-    CHECK(loaded(*opened(folder.under("late"), true, true)).self.number() == number);
-    const auto wiped = loaded(*opened(folder.under("wiped"), false, true)).self.number();
+    CHECK(loadState(*openStore(folder.under("late"), true, true)).self.number() == number);
+    const auto wiped = loadState(*openStore(folder.under("wiped"), false, true)).self.number();
     CHECK(wiped != 0);
     CHECK(wiped != number);
 }
 
-TEST_CASE("What was written is there after opening again", "[raft]") {
+TEST_CASE("Written state is loaded after reopening", "[raft]") {
     const Folder folder;
     {
-        auto store = opened(folder.under("a"));
-        Write w = entries(1, 9, 100);
-        w.hasHardState = true;
-        w.term = 3;
-        w.votedFor = proto::Member();
-        w.votedFor->set_address("10.0.0.2:7540");
-        REQUIRE(store->write(w).ok());
+        auto store = openStore(folder.under("a"));
+        Write write = writeOfEntries(1, 9, 100);
+        write.hasHardState = true;
+        write.term = 3;
+        write.votedFor = proto::Member();
+        write.votedFor->set_address("10.0.0.2:7540");
+        REQUIRE(store->write(write).ok());
         Write again;
         again.truncateFrom = 7;
         again.entries = {entry(3, 7, "new")};
@@ -116,7 +117,7 @@
         REQUIRE(store->write(snapshot).ok());
         REQUIRE(store->write(snapshot).ok());
     }
-    const PersistentState stored = loaded(*opened(folder.under("a")));
+    const PersistentState stored = loadState(*openStore(folder.under("a")));
     CHECK(stored.term == 3);
     REQUIRE(stored.votedFor);
     CHECK(stored.votedFor->address() == "10.0.0.2:7540");
@@ -127,30 +128,31 @@
     CHECK(stored.entries[2].data() == "new");
 }
 
-TEST_CASE("A damaged record is told and not taken", "[raft]") {
+TEST_CASE("A damaged record is reported and not used", "[raft]") {
     const Folder folder;
     const std::string path = folder.under("a/raft.mdb");
-    REQUIRE(opened(folder.under("a"))->write(entries(1, 5, 300)).ok());
-    std::string bytes = content(path);
+    REQUIRE(openStore(folder.under("a"))->write(writeOfEntries(1, 5, 300)).ok());
+    std::string bytes = readFile(path);
     const auto where = bytes.find(std::string(300, 'a' + 3));
     REQUIRE(where != std::string::npos);
     bytes[where + 150] ^= 1;
-    content(path, bytes);
-    const auto stored = opened(folder.under("a"))->load();
+    writeFile(path, bytes);
+    const auto stored = openStore(folder.under("a"))->load();
     CHECK(absl::IsDataLoss(stored.status()));
     CHECK_THAT(std::string(stored.status().message()), Catch::Contains("entry 3") && Catch::Contains(path));
 }
 
-TEST_CASE("A root page whose parts are of two times is told", "[raft]") {
+TEST_CASE("A root page with parts of two transactions is reported", "[raft]") {
     const Folder folder;
     const std::string path = folder.under("a/raft.mdb");
     {
-        auto store = opened(folder.under("a"));
-        REQUIRE(store->write(entries(1, 3, 300)).ok());
-        REQUIRE(store->write(entries(4, 5, 300)).ok());
+        auto store = openStore(folder.under("a"));
+        REQUIRE(store->write(writeOfEntries(1, 3, 300)).ok());
+        REQUIRE(store->write(writeOfEntries(4, 5, 300)).ok());
     }
-    // Two roots, by turns (LMDB 0.9): its databases at 40 to 136, their last page, the transaction at 144.
-    std::string bytes = content(path);
+    // LMDB 0.9 alternates between two root pages. Bytes 40 to 136 describe the databases, followed by the
+    // last page number; the transaction number is at 144.
+    std::string bytes = readFile(path);
     constexpr std::size_t kPage = 4096;
     std::uint64_t first = 0;
     std::uint64_t second = 0;
@@ -159,18 +161,18 @@
     REQUIRE(std::max(first, second) == std::min(first, second) + 1);
     const std::size_t newer = first > second ? 0 : kPage;
     std::copy_n(&bytes[kPage - newer + 40], 104, &bytes[newer + 40]);
-    content(path, bytes);
+    writeFile(path, bytes);
     const auto store = Store::open(folder.under("a"), "10.0.0.1:7540", false, true);
     CHECK(absl::IsDataLoss(store.status()));
 }
 
-TEST_CASE("Large entries and snapshots come back whole, and a damaged part is told", "[raft]") {
+TEST_CASE("Large entries and snapshots are loaded whole, and a damaged part is reported", "[raft]") {
     const Folder folder;
     const std::string path = folder.under("a/raft.mdb");
     const std::string state = std::string(90000, 's') + "only here" + std::string(110000, 't');
     {
-        auto store = opened(folder.under("a"));
-        REQUIRE(store->write(entries(1, 6, 200000)).ok());
+        auto store = openStore(folder.under("a"));
+        REQUIRE(store->write(writeOfEntries(1, 6, 200000)).ok());
         Write snapshot;
         snapshot.snapshot = proto::Snapshot();
         snapshot.snapshot->set_index(3);
@@ -182,133 +184,133 @@
         snapshot.entries = {entry(2, 6, std::string(16, 'x')), entry(2, 7, std::string(50000, 'y'))};
         REQUIRE(store->write(snapshot).ok());
     }
-    const PersistentState stored = loaded(*opened(folder.under("a")));
+    const PersistentState stored = loadState(*openStore(folder.under("a")));
     CHECK(stored.snapshot.data() == state);
     REQUIRE(stored.entries.size() == 3);
     CHECK(stored.entries[0].data() == std::string(200000, 'a' + 5));
     CHECK(stored.entries[1].data() == std::string(16, 'x'));
     CHECK(stored.entries[2].data() == std::string(50000, 'y'));
-    std::string bytes = content(path);
+    std::string bytes = readFile(path);
     const auto where = bytes.find("only here");
     REQUIRE(where != std::string::npos);
     bytes[where] ^= 1;
-    content(path, bytes);
-    const auto damaged = opened(folder.under("a"))->load();
+    writeFile(path, bytes);
+    const auto damaged = openStore(folder.under("a"))->load();
     CHECK(absl::IsDataLoss(damaged.status()));
     CHECK_THAT(std::string(damaged.status().message()), Catch::Contains("a part of the snapshot"));
 }
 
-// LMDB writes pages, syncs them, then writes the root. Power is lost before the root: new pages, old roots.
-TEST_CASE("A loss of power before the root leaves what was there before, whatever pages were written",
-          "[raft]") {
+// LMDB writes the pages, syncs them and then writes the root page. A power loss before the last step leaves
+// new pages with the old root pages.
+TEST_CASE("A power loss before the root page is written leaves the previous state", "[raft]") {
     const Folder folder;
     const std::string path = folder.under("a/raft.mdb");
     constexpr std::size_t kRoots = std::size_t{2} * 4096;
-    auto store = opened(folder.under("a"));
+    auto store = openStore(folder.under("a"));
     for (Index index = 1; index <= 40; ++index) {
-        const std::string before = content(path);
-        const PersistentState held = loaded(*store);
-        Write write = entries(index, index, 30000 + 1000 * index);
+        const std::string before = readFile(path);
+        const PersistentState stateBefore = loadState(*store);
+        Write write = writeOfEntries(index, index, 30000 + 1000 * index);
         if (index % 5 == 0) {
             write.snapshot = proto::Snapshot();
             write.snapshot->set_index(index - 2);
             write.snapshot->set_data(std::string(100000 + 3000 * index, 's'));
         }
         REQUIRE(store->write(write).ok());
-        std::string torn = content(path);
+        std::string torn = readFile(path);
         std::copy_n(before.begin(), kRoots, torn.begin());
         std::filesystem::create_directories(folder.path / "torn");
-        content(folder.under("torn/raft.mdb"), torn);
-        const PersistentState found = loaded(*opened(folder.under("torn")));
-        CHECK(found.snapshot.index() == held.snapshot.index());
-        CHECK(found.snapshot.data() == held.snapshot.data());
-        REQUIRE(found.entries.size() == held.entries.size());
-        for (std::size_t k = 0; k < held.entries.size(); ++k)
-            CHECK(found.entries[k].data() == held.entries[k].data());
+        writeFile(folder.under("torn/raft.mdb"), torn);
+        const PersistentState found = loadState(*openStore(folder.under("torn")));
+        CHECK(found.snapshot.index() == stateBefore.snapshot.index());
+        CHECK(found.snapshot.data() == stateBefore.snapshot.data());
+        REQUIRE(found.entries.size() == stateBefore.entries.size());
+        for (std::size_t k = 0; k < stateBefore.entries.size(); ++k)
+            CHECK(found.entries[k].data() == stateBefore.entries[k].data());
     }
 }
 
-TEST_CASE("A full log says so, keeps what it has, and goes on once there is room", "[raft]") {
+TEST_CASE("A full log reports it, keeps its content and accepts writes once there is space", "[raft]") {
     const Folder folder;
-    auto store = opened(folder.under("a"), true, true, std::size_t{2} << 20U);
+    auto store = openStore(folder.under("a"), true, true, std::size_t{2} << 20U);
     Index last = 0;
     absl::Status status;
     while (status.ok()) {
         REQUIRE(last < 100);
-        status = store->write(entries(last + 1, last + 1, 100000));
+        status = store->write(writeOfEntries(last + 1, last + 1, 100000));
         last += status.ok() ? 1 : 0;
     }
     CHECK(absl::IsResourceExhausted(status));
-    CHECK(loaded(*store).entries.size() == last);
+    CHECK(loadState(*store).entries.size() == last);
     Write snapshot;
     snapshot.snapshot = proto::Snapshot();
     snapshot.snapshot->set_index(last);
     REQUIRE(store->write(snapshot).ok());
-    REQUIRE(store->write(entries(last + 1, last + 1, 100000)).ok());
+    REQUIRE(store->write(writeOfEntries(last + 1, last + 1, 100000)).ok());
     store.reset();
-    CHECK(loaded(*opened(folder.under("a"))).entries.size() == 1);
+    CHECK(loadState(*openStore(folder.under("a"))).entries.size() == 1);
 }
 
-TEST_CASE("A write that the disk refused may be tried again", "[raft]") {
+TEST_CASE("A write that the disk refused can be retried", "[raft]") {
     const Folder folder;
-    auto store = opened(folder.under("a"));
-    REQUIRE(store->write(entries(1, 3, 300)).ok());
+    auto store = openStore(folder.under("a"));
+    REQUIRE(store->write(writeOfEntries(1, 3, 300)).ok());
     struct rlimit before {};
     REQUIRE(::getrlimit(RLIMIT_FSIZE, &before) == 0);
     const auto size = std::filesystem::file_size(folder.path / "a/raft.mdb");
     const struct rlimit tight { size, before.rlim_max };
     const auto handler = std::signal(SIGXFSZ, SIG_IGN);
     REQUIRE(::setrlimit(RLIMIT_FSIZE, &tight) == 0);
-    const absl::Status refused = store->write(entries(4, 6, 20000));
-    const absl::Status again = store->write(entries(4, 6, 20000));
+    const absl::Status refused = store->write(writeOfEntries(4, 6, 20000));
+    const absl::Status again = store->write(writeOfEntries(4, 6, 20000));
     REQUIRE(::setrlimit(RLIMIT_FSIZE, &before) == 0);
     std::signal(SIGXFSZ, handler);
     CHECK(absl::IsResourceExhausted(refused));
     CHECK(absl::IsResourceExhausted(again));
-    REQUIRE(store->write(entries(4, 6, 20000)).ok());
+    REQUIRE(store->write(writeOfEntries(4, 6, 20000)).ok());
     store.reset();
-    CHECK(loaded(*opened(folder.under("a"))).entries.size() == 6);
+    CHECK(loadState(*openStore(folder.under("a"))).entries.size() == 6);
 }
 
-TEST_CASE("The file doesn't grow with what was compacted", "[raft]") {
+TEST_CASE("The file does not grow with compacted entries", "[raft]") {
     const Folder folder;
-    auto store = opened(folder.under("a"));
-    std::uintmax_t settled = 0;
+    auto store = openStore(folder.under("a"));
+    std::uintmax_t settledSize = 0;
     for (Index from = 1; from <= 2000; from += 20) {
-        REQUIRE(store->write(entries(from, from + 19, 2000)).ok());
+        REQUIRE(store->write(writeOfEntries(from, from + 19, 2000)).ok());
         Write snapshot;
         snapshot.snapshot = proto::Snapshot();
         snapshot.snapshot->set_index(from + 19);
         snapshot.snapshot->set_data(std::string(200000, 's'));
         REQUIRE(store->write(snapshot).ok());
-        if (from == 201) settled = std::filesystem::file_size(folder.path / "a/raft.mdb");
+        if (from == 201) settledSize = std::filesystem::file_size(folder.path / "a/raft.mdb");
     }
-    CHECK(std::filesystem::file_size(folder.path / "a/raft.mdb") <= 2 * settled);
-    CHECK(settled < 4000000);
+    CHECK(std::filesystem::file_size(folder.path / "a/raft.mdb") <= 2 * settledSize);
+    CHECK(settledSize < 4000000);
 }
 
-// Whole configurations come as changes; log and snapshots by the policy in force.
+// Each change is a whole configuration; the production compaction policy decides on snapshots.
 TEST_CASE("The file and what each change writes stay bounded over changes of 200 kB", "[raft]") {
     struct Load {
         const char* name;
         std::size_t state, change;
         Index changes;
-        double fileBytes, writtenPerChange;  // at most
+        double fileBytes, writtenPerChange;  // upper limits
     };
     const bool all = std::getenv("MARLDALE_RAFT_FIGURES") != nullptr;
     const auto load = GENERATE_COPY(
         Load{"state 200 kB, changes 200 kB", 200000, 200000, static_cast<Index>(all ? 2000 : 200), 16e6, 3e5},
         Load{"state 8 MB, changes 2 kB", 8000000, 2000, static_cast<Index>(all ? 2000 : 600), 40e6, 1e5});
     const Folder folder;
-    auto store = opened(folder.under("a"), true, true, std::size_t{160} << 20U);
+    auto store = openStore(folder.under("a"), true, true, std::size_t{160} << 20U);
     const auto path = folder.path / "a/raft.mdb";
     CompactionPolicy policy;
     std::uint64_t random = 1;
-    const auto varied = [&](std::size_t size) {  // by a quarter, up or down
+    const auto varied = [&](std::size_t size) {  // by up to a quarter in either direction
         random = marldale::bytes::mixed(random);
         return size * 3 / 4 + random % (size / 2);
     };
-    const std::uint64_t before = writtenByProcess();
+    const std::uint64_t before = bytesWrittenByProcess();
     std::uintmax_t after300 = 0;
     for (Index index = 1; index <= load.changes; ++index) {
         Write change;
@@ -324,7 +326,7 @@
         }
         if (index == 300) after300 = std::filesystem::file_size(path);
     }
-    const std::uint64_t perChange = (writtenByProcess() - before) / load.changes;
+    const std::uint64_t perChange = (bytesWrittenByProcess() - before) / load.changes;
     const auto size = std::filesystem::file_size(path);
     if (all)
         std::cout << load.name << ", " << load.changes << " changes: file " << size << " bytes (" << after300
@@ -332,11 +334,11 @@
     CHECK(static_cast<double>(size) <= load.fileBytes);
     CHECK(static_cast<double>(perChange) <= load.writtenPerChange);
     store.reset();
-    CHECK(loaded(*opened(folder.under("a"), true, true, std::size_t{160} << 20U)).snapshot.index() > 0);
+    CHECK(loadState(*openStore(folder.under("a"), true, true, std::size_t{160} << 20U)).snapshot.index() > 0);
 }
 
-// A disk each, in one process; messages arrive at once, time runs by what is due.
-TEST_CASE("Three replicas on disks elect, commit, and go on after they all have died", "[raft]") {
+// Replicas with a store each in one process. Messages arrive at once, and time advances to the next timer.
+TEST_CASE("Three replicas with stores elect, commit, and continue after all were stopped", "[raft]") {
     const Folder folder;
     Settings settings;
     settings.seeds = {"a", "b", "c"};
@@ -350,30 +352,30 @@
     const auto start = [&] {
         machines.clear();
         for (const auto& name : settings.seeds) {
-            auto& m = machines[name];
+            auto& machine = machines[name];
             auto store = Store::open(folder.under(name), name, true, true, std::size_t{8} << 20U);
             REQUIRE(store.ok());
-            m.store = std::move(*store);
-            m.replica = std::make_unique<Replica>(settings, loaded(*m.store), now);
+            machine.store = std::move(*store);
+            machine.replica = std::make_unique<Replica>(settings, loadState(*machine.store), now);
         }
     };
     const auto settle = [&] {
-        for (bool moved = true; moved;) {
-            moved = false;
-            for (auto& [name, m] : machines) {
-                auto ready = m.replica->take();
+        for (bool progressed = true; progressed;) {
+            progressed = false;
+            for (auto& [name, machine] : machines) {
+                auto ready = machine.replica->take();
                 for (const auto& message : ready.messages) {
-                    moved = true;
+                    progressed = true;
                     machines.at(message.to().address()).replica->receive(now, message);
                 }
-                for (const auto& w : ready.writes) {
-                    moved = true;
-                    REQUIRE(m.store->write(w).ok());
-                    m.replica->persisted(now, w.number);
+                for (const auto& write : ready.writes) {
+                    progressed = true;
+                    REQUIRE(machine.store->write(write).ok());
+                    machine.replica->persisted(now, write.number);
                 }
-                if (ready.install) m.applied = {ready.install->data()};
-                for (const auto& e : ready.committed)
-                    if (e.kind() == proto::Entry::CHANGE) m.applied.push_back(e.data());
+                if (ready.install) machine.applied = {ready.install->data()};
+                for (const auto& entry : ready.committed)
+                    if (entry.kind() == proto::Entry::CHANGE) machine.applied.push_back(entry.data());
             }
         }
     };
@@ -381,15 +383,15 @@
         for (const Micros end = now + span; now < end;) {
             settle();
             Micros due = end;
-            for (auto& [name, m] : machines) due = std::min(due, m.replica->nextDue());
+            for (auto& [name, machine] : machines) due = std::min(due, machine.replica->nextDue());
             now = std::max(now, due);
-            for (auto& [name, m] : machines) m.replica->tick(now);
+            for (auto& [name, machine] : machines) machine.replica->tick(now);
         }
         settle();
     };
     const auto leader = [&]() -> Machine& {
-        for (auto& [name, m] : machines)
-            if (m.replica->leads()) return m;
+        for (auto& [name, machine] : machines)
+            if (machine.replica->leads()) return machine;
         FAIL("nobody leads");
         return machines.begin()->second;
     };
@@ -399,7 +401,8 @@
         REQUIRE(leader().replica->propose(now, std::to_string(k)));
         settle();
     }
-    for (auto& [name, m] : machines) CHECK(m.applied == std::vector<std::string>{"0", "1", "2", "3", "4"});
+    for (auto& [name, machine] : machines)
+        CHECK(machine.applied == std::vector<std::string>{"0", "1", "2", "3", "4"});
     auto& first = leader();
     first.replica->compact(now, first.replica->committed(), "01234");
     settle();
@@ -409,9 +412,9 @@
     CHECK(leader().replica->term() > before);
     REQUIRE(leader().replica->propose(now, "5"));
     settle();
-    for (auto& [name, m] : machines) {
+    for (auto& [name, machine] : machines) {
         std::string all;
-        for (const auto& a : m.applied) all += a;
+        for (const auto& a : machine.applied) all += a;
         CHECK(all == "012345");
     }
     leader().replica->read(now, 7);
@@ -419,14 +422,14 @@
     CHECK(ready.reads.empty());
     for (const auto& message : ready.messages)
         machines.at(message.to().address()).replica->receive(now, message);
-    for (auto& [name, m] : machines) {
-        if (m.replica->leads()) continue;
-        for (const auto& message : m.replica->take().messages)
+    for (auto& [name, machine] : machines) {
+        if (machine.replica->leads()) continue;
+        for (const auto& message : machine.replica->take().messages)
             machines.at(message.to().address()).replica->receive(now, message);
     }
     ready = leader().replica->take();
     REQUIRE(ready.reads.size() == 1);
     CHECK(ready.reads[0].confirmed);
     CHECK(ready.reads[0].index == leader().replica->committed());
-    for (auto& [name, m] : machines) CHECK(m.replica->quorumContactAge(now) >= 0);
+    for (auto& [name, machine] : machines) CHECK(machine.replica->quorumContactAge(now) >= 0);
 }
--- a/tests/gateway/raft_world_test.cpp
+++ b/tests/gateway/raft_world_test.cpp
@@ -1,7 +1,7 @@
-// Thousands of histories of replicas whose machines, disks and links fail; and faults planted in the replica,
-// each of which the histories must find. Variables: MARLDALE_RAFT_HISTORIES of them from MARLDALE_RAFT_SEED
-// on, at most MARLDALE_RAFT_HUNT for a fault; MARLDALE_RAFT_FIGURES prints figures, MARLDALE_RAFT_TRACE each
-// step.
+// Simulates thousands of histories of replicas whose machines, disks and links fail, and checks that they
+// detect each fault injected into the replica. Environment variables: MARLDALE_RAFT_HISTORIES (number of
+// histories), MARLDALE_RAFT_SEED (first seed), MARLDALE_RAFT_HUNT (most histories per injected fault),
+// MARLDALE_RAFT_FIGURES (prints statistics), MARLDALE_RAFT_TRACE (prints each step).
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <ctime>
@@ -10,130 +10,142 @@
 #include "raft_world.h"
 
 using namespace marldale::raft;
-using world::Broken;
-using world::Figures;
 using world::Plan;
+using world::Statistics;
+using world::Violation;
 using world::World;
 
 namespace {
 
-std::uint64_t count(const char* variable, std::uint64_t otherwise) {
+std::uint64_t setting(const char* variable, std::uint64_t defaultValue) {
     const char* text = std::getenv(variable);
-    return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+    return text == nullptr ? defaultValue : std::strtoull(text, nullptr, 10);
 }
 
-// What breaks first, if anything.
-std::optional<std::string> broken(const Plan& plan, Figures* into = nullptr) {
+// The first violation in one history, if any.
+std::optional<std::string> violationIn(const Plan& plan, Statistics* into = nullptr) {
     World world(plan);
     try {
-        const Figures figures = world.run();
-        if (into != nullptr) into->add(figures);
+        const Statistics statistics = world.run();
+        if (into != nullptr) into->add(statistics);
         return std::nullopt;
-    } catch (const Broken& b) {
-        return world.about() + ": " + b.what();
+    } catch (const Violation& violation) {
+        return world.describe() + ": " + violation.what();
     }
 }
 
-// Machines go, come and are replaced for a minute, each as soon as the ones before count no more as lost.
-Plan replacements(std::uint64_t seed) {
+// For one minute, machines stop, return and are replaced as soon as the previous ones no longer count as
+// lost.
+Plan replacementPlan(std::uint64_t seed) {
     static constexpr std::size_t kSizes[] = {3, 4, 4, 5, 7};
     Plan plan;
     plan.seed = seed;
     plan.replacements = true;
     plan.machines = kSizes[seed % std::size(kSizes)];
-    plan.troubles = 60 * world::kSecond;
+    plan.faultDuration = 60 * world::kSecond;
     return plan;
 }
 
 }  // namespace
 
-TEST_CASE("Histories keep what is acknowledged, one leader a term, fresh reads, and progress",
+TEST_CASE("Histories keep acknowledged changes, one leader per term, linearizable reads, and progress",
           "[raft][world]") {
-    const std::uint64_t first = count("MARLDALE_RAFT_SEED", 1);
-    const std::uint64_t histories = count("MARLDALE_RAFT_HISTORIES", 2000);
-    Figures figures;
-    const std::clock_t began = std::clock();
+    const std::uint64_t first = setting("MARLDALE_RAFT_SEED", 1);
+    const std::uint64_t histories = setting("MARLDALE_RAFT_HISTORIES", 2000);
+    Statistics statistics;
+    const std::clock_t startTime = std::clock();
     std::uint64_t failed = 0;
     for (std::uint64_t seed = first; seed < first + histories && failed < 10; ++seed) {
         Plan plan;
         plan.seed = seed;
-        const auto sentence = broken(plan, &figures);
-        INFO(sentence.value_or(""));
-        CHECK(!sentence);
-        failed += sentence ? 1 : 0;
+        const auto violation = violationIn(plan, &statistics);
+        INFO(violation.value_or(""));
+        CHECK(!violation);
+        failed += violation ? 1 : 0;
     }
     if (std::getenv("MARLDALE_RAFT_FIGURES") != nullptr)
-        std::cout << histories << " histories, " << static_cast<double>(std::clock() - began) / CLOCKS_PER_SEC
-                  << " s: " << figures.acknowledged << " acknowledged, " << figures.refused << " refused, "
-                  << figures.unclear << " unclear, " << figures.reads << " reads, " << figures.messages
-                  << " messages, " << figures.writes << " writes, " << figures.elections << " leaders, "
-                  << figures.kills << " kills, " << figures.powerLosses << " power losses, " << figures.wipes
-                  << " wipes, " << figures.installs << " installs, " << figures.changes
-                  << " applied changes of members; calm to ack at most " << figures.calmToAck
-                  << " us, to all " << figures.calmToAll << " us\n";
+        std::cout << histories << " histories, "
+                  << static_cast<double>(std::clock() - startTime) / CLOCKS_PER_SEC
+                  << " s: " << statistics.acknowledged << " acknowledged, " << statistics.refused
+                  << " refused, " << statistics.unclear << " unclear, " << statistics.reads << " reads, "
+                  << statistics.messages << " messages, " << statistics.writes << " writes, "
+                  << statistics.elections << " leaders, " << statistics.kills << " kills, "
+                  << statistics.powerLosses << " power losses, " << statistics.wipes << " wipes, "
+                  << statistics.installs << " installs, " << statistics.changes
+                  << " applied membership changes; end of faults to acknowledgement at most "
+                  << statistics.maxRecoveryToAck << " us, to all machines " << statistics.maxRecoveryToAll
+                  << " us\n";
 }
 
-TEST_CASE("Replacements one right after the other keep what may be lost next", "[raft][world]") {
-    const std::uint64_t first = count("MARLDALE_RAFT_SEED", 1);
-    const std::uint64_t histories = count("MARLDALE_RAFT_HISTORIES", 2000) / 4;
-    Figures figures;
+TEST_CASE("Replacements in immediate succession leave enough voters for the next loss", "[raft][world]") {
+    const std::uint64_t first = setting("MARLDALE_RAFT_SEED", 1);
+    const std::uint64_t histories = setting("MARLDALE_RAFT_HISTORIES", 2000) / 4;
+    Statistics statistics;
     std::uint64_t failed = 0;
     for (std::uint64_t seed = first; seed < first + histories && failed < 10; ++seed) {
-        const auto sentence = broken(replacements(seed), &figures);
-        INFO(sentence.value_or(""));
-        CHECK(!sentence);
-        failed += sentence ? 1 : 0;
+        const auto violation = violationIn(replacementPlan(seed), &statistics);
+        INFO(violation.value_or(""));
+        CHECK(!violation);
+        failed += violation ? 1 : 0;
     }
     if (std::getenv("MARLDALE_RAFT_FIGURES") != nullptr)
-        std::cout << histories << " histories of replacements: " << figures.steps << " steps, "
-                  << figures.wipes << " wipes, " << figures.changesInMinute
-                  << " changes of members in a minute at most, " << figures.slowestVote
-                  << " us from a start to the vote at most\n";
+        std::cout << histories << " histories of replacements: " << statistics.steps << " steps, "
+                  << statistics.wipes << " wipes, " << statistics.maxChangesPerMinute
+                  << " membership changes in a minute at most, " << statistics.slowestPromotion
+                  << " us from a start to being a voter at most\n";
 }
 
-TEST_CASE("Histories find each planted fault", "[raft][world]") {
-    struct Planted {
+TEST_CASE("Histories detect each injected fault", "[raft][world]") {
+    struct InjectedFault {
         const char* name;
-        void (*plant)(Plan&);
+        void (*inject)(Plan&);
     };
-    static const Planted kAll[] = {
-        {"a vote is answered before it is on disk", [](Plan& p) { p.faults.answersVoteUnsynced = true; }},
-        {"entries are answered before they are on disk",
-         [](Plan& p) { p.faults.answersAppendUnsynced = true; }},
+    static const InjectedFault kInjectedFaults[] = {
+        {"a vote is granted before it is on disk",
+         [](Plan& plan) { plan.faults.answersVoteUnsynced = true; }},
+        {"entries are acknowledged before they are on disk",
+         [](Plan& plan) { plan.faults.answersAppendUnsynced = true; }},
         {"a leader counts its own entries before they are on disk",
-         [](Plan& p) { p.faults.countsOwnUnsynced = true; }},
-        {"reads without a round", [](Plan& p) { p.faults.readsWithoutRound = true; }},
-        {"votes for shorter logs", [](Plan& p) { p.faults.votesForShorterLogs = true; }},
+         [](Plan& plan) { plan.faults.countsOwnUnsynced = true; }},
+        {"reads without a round of heartbeats", [](Plan& plan) { plan.faults.readsWithoutRound = true; }},
+        {"votes for shorter logs", [](Plan& plan) { plan.faults.votesForShorterLogs = true; }},
         {"members change before the last change is committed",
-         [](Plan& p) { p.faults.changesAtOnce = p.wild = true, p.machines = 3, p.splits = 30; }},
+         [](Plan& plan) {
+             plan.faults.changesAtOnce = plan.beyondTolerance = true, plan.machines = 3,
+             plan.leaderSplitPercent = 30;
+         }},
         {"members change without the outgoing majority",
-         [](Plan& p) { p.faults.forgetsOutgoing = p.wild = true, p.machines = 3, p.splits = 30; }},
-        {"a member is told by its address alone", [](Plan& p) { p.faults.ignoresNumbers = true; }},
-        {"word counts from its arrival", [](Plan& p) { p.faults.trustsArrival = true; }},
+         [](Plan& plan) {
+             plan.faults.forgetsOutgoing = plan.beyondTolerance = true, plan.machines = 3,
+             plan.leaderSplitPercent = 30;
+         }},
+        {"a member is identified by its address alone",
+         [](Plan& plan) { plan.faults.ignoresNumbers = true; }},
+        {"a message counts from its arrival", [](Plan& plan) { plan.faults.trustsArrival = true; }},
         {"a snapshot is installed over a newer state",
-         [](Plan& p) { p.faults.installsOlderSnapshots = true; }},
+         [](Plan& plan) { plan.faults.installsOlderSnapshots = true; }},
         {"the entry after an installed snapshot isn't written",
-         [](Plan& p) { p.faults.losesEntryAfterSnapshot = true; }},
-        {"a wiped seed returns as the seed", [](Plan& p) { p.wipedKeepsNumber = true; }},
+         [](Plan& plan) { plan.faults.losesEntryAfterSnapshot = true; }},
+        {"a wiped seed returns with its old identity", [](Plan& plan) { plan.wipedKeepsNumber = true; }},
         {"a silent voter is never replaced",
-         [](Plan& p) { p = replacements(p.seed), p.faults.keepsSilentVoter = true; }},
+         [](Plan& plan) { plan = replacementPlan(plan.seed), plan.faults.keepsSilentVoter = true; }},
         {"voters are chosen without their zones",
-         [](Plan& p) { p = replacements(p.seed), p.faults.ignoresZones = true; }},
+         [](Plan& plan) { plan = replacementPlan(plan.seed), plan.faults.ignoresZones = true; }},
     };
-    const std::uint64_t most = count("MARLDALE_RAFT_HUNT", 4000);
-    for (const auto& planted : kAll) {
+    const std::uint64_t maxHistories = setting("MARLDALE_RAFT_HUNT", 4000);
+    for (const auto& fault : kInjectedFaults) {
         std::optional<std::string> found;
         std::uint64_t seed = 0;
-        while (!found && seed < most) {
+        while (!found && seed < maxHistories) {
             Plan plan;
             plan.seed = ++seed;
-            planted.plant(plan);
-            found = broken(plan);
+            fault.inject(plan);
+            found = violationIn(plan);
         }
-        INFO(planted.name);
+        INFO(fault.name);
         CHECK(found);
         if (std::getenv("MARLDALE_RAFT_FIGURES") != nullptr)
-            std::cout << planted.name << ": after " << seed << " histories: " << found.value_or("not found")
+            std::cout << fault.name << ": after " << seed << " histories: " << found.value_or("not found")
                       << "\n";
     }
 }
--- a/tests/gateway/snapshot_transfer_test.cpp
+++ b/tests/gateway/snapshot_transfer_test.cpp
@@ -1,5 +1,5 @@
-// A snapshot's transfer over links that lose, reorder, repeat and damage; over restarts and changes of
-// leader.
+// Tests of the snapshot transfer over links that lose, reorder, duplicate and corrupt messages, and across
+// restarts and changes of leader.
 #include <catch2/catch.hpp>
 #include <deque>
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr SnapshotTransferSettings kSmall{100, 4, 100000};
+constexpr SnapshotTransferSettings kSmallSettings{100, 4, 100000};
 
 proto::Snapshot snapshotOf(std::uint64_t index, std::size_t size, char first = 'a') {
     proto::Snapshot snapshot;
@@ -25,30 +25,32 @@
     return snapshot;
 }
 
-struct LinkTroubles {  // the chance of each, of a message
+struct LinkFaults {  // probability of each per message
     double loses = 0, repeats = 0, reorders = 0, damages = 0;
 };
 
-// One leader and one follower. A step is a heartbeat of the leader and all that follows from it.
+// A transfer from one leader to one follower. A step is one heartbeat of the leader and all resulting
+// messages.
 struct Transfer {
-    LinkTroubles link;
+    LinkFaults link;
     SnapshotTransferFaults faults;
     std::uint64_t random = 1;
-    SnapshotSender sender{kSmall, faults};
-    SnapshotReceiver receiver{kSmall, faults};
+    SnapshotSender sender{kSmallSettings, faults};
+    SnapshotReceiver receiver{kSmallSettings, faults};
     std::uint64_t term = 3, sequence = 0;
     std::size_t chunks = 0, bytes = 0, buffered = 0;
     std::optional<proto::Snapshot> installed;
 
-    explicit Transfer(std::uint64_t seed = 1, SnapshotTransferFaults planted = {}, LinkTroubles over = {})
-        : link(over), faults(planted), random(seed) {}
+    explicit Transfer(std::uint64_t seed = 1, SnapshotTransferFaults injected = {},
+                      LinkFaults linkFaults = {})
+        : link(linkFaults), faults(injected), random(seed) {}
 
-    bool chance(double p) {
+    bool chance(double probability) {
         random = marldale::bytes::mixed(random + 0x9e3779b97f4a7c15ULL);
-        return static_cast<double>(random >> 11U) * 0x1p-53 < p;
+        return static_cast<double>(random >> 11U) * 0x1p-53 < probability;
     }
     template <typename Message>
-    void carry(std::deque<Message>& queue, Message message) {
+    void sendOver(std::deque<Message>& queue, Message message) {
         if (chance(link.loses)) return;
         if (chance(link.repeats)) queue.push_back(message);
         if (chance(link.reorders) && !queue.empty()) {
@@ -57,46 +59,47 @@
             queue.push_back(std::move(message));
         }
     }
-    void deliver(proto::SnapshotChunk chunk, std::deque<proto::SnapshotProgress>& answers) {
+    void deliver(proto::SnapshotChunk chunk, std::deque<proto::SnapshotProgress>& responses) {
         if (!chunk.data().empty() && chance(link.damages)) (*chunk.mutable_data())[0] ^= 1;
         auto accepted = receiver.accept(term, chunk);
         if (!accepted) return;
         buffered = std::max(buffered, receiver.bufferedBytes());
         if (accepted->snapshot) installed = std::move(accepted->snapshot);
-        carry(answers, accepted->progress);
+        sendOver(responses, accepted->progress);
     }
     void step() {
         std::deque<proto::SnapshotChunk> chunksOut;
-        std::deque<proto::SnapshotProgress> answers;
+        std::deque<proto::SnapshotProgress> responses;
         sender.heartbeat();
-        carry(chunksOut, sender.probe(++sequence));
+        sendOver(chunksOut, sender.probe(++sequence));
         do {
             while (auto chunk = sender.nextChunk(sequence + 1)) {
                 ++sequence;
                 ++chunks;
                 bytes += chunk->data().size();
-                carry(chunksOut, std::move(*chunk));
+                sendOver(chunksOut, std::move(*chunk));
             }
             if (!chunksOut.empty()) {
                 const proto::SnapshotChunk chunk = std::move(chunksOut.front());
                 chunksOut.pop_front();
-                deliver(chunk, answers);
+                deliver(chunk, responses);
             }
-            for (; !answers.empty() && !installed; answers.pop_front()) sender.acknowledged(answers.front());
+            for (; !responses.empty() && !installed; responses.pop_front())
+                sender.acknowledged(responses.front());
         } while (!chunksOut.empty() && !installed);
     }
-    bool run(const proto::Snapshot& snapshot, std::size_t stepsMost) {
+    bool run(const proto::Snapshot& snapshot, std::size_t maxSteps) {
         if (!sender.active()) sender.begin(encodeSnapshot(snapshot));
-        for (std::size_t k = 0; k < stepsMost && !installed; ++k) step();
+        for (std::size_t k = 0; k < maxSteps && !installed; ++k) step();
         return installed && installed->SerializeAsString() == snapshot.SerializeAsString();
     }
 };
 
-// What of a fault shows: nothing, where all histories hold.
-bool holds(SnapshotTransferFaults faults) {
+// Whether all simulated transfers with the given faults deliver the right snapshot.
+bool transfersCorrectly(SnapshotTransferFaults faults) {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         Transfer transfer(seed, faults, {0.05, 0.05, 0.1, 0.03});
-        // One leader begins, another one with a different snapshot of the same index takes over.
+        // One leader begins a transfer; another leader with a different snapshot takes over.
         transfer.sender.begin(encodeSnapshot(snapshotOf(6, 3000, 'A')));
         for (int k = 0; k < 2; ++k) transfer.step();
         if (transfer.installed && transfer.installed->data() != snapshotOf(6, 3000, 'A').data()) return false;
@@ -111,7 +114,7 @@
 
 }  // namespace
 
-TEST_CASE("A snapshot arrives whole in chunks, in one step over a sound link", "[raft][snapshot]") {
+TEST_CASE("A snapshot arrives complete in chunks, in one step over a reliable link", "[raft][snapshot]") {
     Transfer transfer;
     const proto::Snapshot snapshot = snapshotOf(7, 5000);
     CHECK(transfer.run(snapshot, 1));
@@ -120,42 +123,42 @@
     CHECK(transfer.receiver.bufferedBytes() == 0);
 }
 
-TEST_CASE("A snapshot arrives over links that lose, repeat, reorder and damage", "[raft][snapshot]") {
-    CHECK(holds({}));
+TEST_CASE("A snapshot arrives over links that lose, duplicate, reorder and corrupt messages",
+          "[raft][snapshot]") {
+    CHECK(transfersCorrectly({}));
 }
 
-TEST_CASE("Transfers of snapshots find each planted fault", "[raft][snapshot]") {
+TEST_CASE("Simulated transfers detect each injected fault", "[raft][snapshot]") {
     SnapshotTransferFaults foreign, checksums, offsets, losses;
     foreign.acceptsForeignChunks = true;
     checksums.ignoresChecksums = true;
     offsets.ignoresOffsets = true;
     losses.ignoresLosses = true;
-    CHECK_FALSE(holds(foreign));
-    CHECK_FALSE(holds(checksums));
-    CHECK_FALSE(holds(offsets));
-    CHECK_FALSE(holds(losses));
+    CHECK_FALSE(transfersCorrectly(foreign));
+    CHECK_FALSE(transfersCorrectly(checksums));
+    CHECK_FALSE(transfersCorrectly(offsets));
+    CHECK_FALSE(transfersCorrectly(losses));
 }
 
-TEST_CASE("A chunk of another snapshot doesn't get into the one under way", "[raft][snapshot]") {
+TEST_CASE("A chunk of another snapshot is not added to the one in transfer", "[raft][snapshot]") {
     const auto older = encodeSnapshot(snapshotOf(7, 450, 'A'));
     const auto newer = encodeSnapshot(snapshotOf(9, 450));
     REQUIRE(older->bytes.size() == newer->bytes.size());
-    SnapshotSender first(kSmall), second(kSmall);
+    SnapshotSender first(kSmallSettings), second(kSmallSettings);
     first.begin(older);
     second.begin(newer);
-    SnapshotReceiver receiver(kSmall);
+    SnapshotReceiver receiver(kSmallSettings);
     const auto stray = first.nextChunk(1);
     REQUIRE(receiver.accept(3, *second.nextChunk(2)));
     CHECK_FALSE(receiver.accept(3, *stray));
     CHECK(receiver.bufferedBytes() == 100);
-    // A newer one of the same leader takes its place, from the first byte on.
+    // A newer transfer of the same leader replaces it and starts at the first byte.
     const auto other = receiver.accept(3, first.probe(3));
     REQUIRE(other);
     CHECK(other->progress.received() == 0);
 }
 
-TEST_CASE("A transfer goes on where the last leader was, and begins anew after a restart",
-          "[raft][snapshot]") {
+TEST_CASE("A transfer resumes with a new leader and starts over after a restart", "[raft][snapshot]") {
     Transfer transfer;
     const proto::Snapshot snapshot = snapshotOf(7, 3000);
     transfer.sender.begin(encodeSnapshot(snapshot));
@@ -165,49 +168,49 @@
         transfer.sender.acknowledged(transfer.receiver.accept(3, *chunk)->progress);
     }
     ++transfer.term;
-    const std::size_t there = transfer.receiver.bufferedBytes();
-    CHECK(there == 2000);
-    transfer.sender = SnapshotSender(kSmall);
+    const std::size_t received = transfer.receiver.bufferedBytes();
+    CHECK(received == 2000);
+    transfer.sender = SnapshotSender(kSmallSettings);
     SECTION("another leader with the same snapshot") {
         CHECK(transfer.run(snapshot, 1));
-        CHECK(transfer.bytes <= snapshot.ByteSizeLong() - there + kSmall.chunkBytes);
+        CHECK(transfer.bytes <= snapshot.ByteSizeLong() - received + kSmallSettings.chunkBytes);
     }
     SECTION("the receiver has restarted") {
-        transfer.receiver = SnapshotReceiver(kSmall);
+        transfer.receiver = SnapshotReceiver(kSmallSettings);
         CHECK(transfer.run(snapshot, 1));
         CHECK(transfer.bytes == snapshot.ByteSizeLong());
     }
 }
 
-TEST_CASE("The receiver restarts in the middle and the sender goes back", "[raft][snapshot]") {
+TEST_CASE("The sender starts over if the receiver restarts during a transfer", "[raft][snapshot]") {
     Transfer transfer;
     const proto::Snapshot snapshot = snapshotOf(7, 3000);
     transfer.sender.begin(encodeSnapshot(snapshot));
     std::uint64_t k = 1;
     for (; k <= 20; ++k)
         transfer.sender.acknowledged(transfer.receiver.accept(3, *transfer.sender.nextChunk(k))->progress);
-    transfer.receiver = SnapshotReceiver(kSmall);
+    transfer.receiver = SnapshotReceiver(kSmallSettings);
     transfer.sequence = k;
     CHECK(transfer.run(snapshot, 3));
 }
 
-TEST_CASE("A snapshot larger than the bound is not taken, and not sent faster than heartbeats",
+TEST_CASE("A snapshot above the size limit is rejected and resent no faster than the heartbeat",
           "[raft][snapshot]") {
     Transfer transfer;
     CHECK_FALSE(transfer.run(snapshotOf(7, 200000), 20));
     CHECK(transfer.buffered == 0);
-    CHECK(transfer.chunks <= 20 * kSmall.windowChunks);
+    CHECK(transfer.chunks <= 20 * kSmallSettings.windowChunks);
 }
 
-TEST_CASE("No more than a window is under way", "[raft][snapshot]") {
-    SnapshotSender sender(kSmall);
+TEST_CASE("No more than one window is in flight", "[raft][snapshot]") {
+    SnapshotSender sender(kSmallSettings);
     sender.begin(encodeSnapshot(snapshotOf(7, 3000)));
-    SnapshotReceiver receiver(kSmall);
+    SnapshotReceiver receiver(kSmallSettings);
     const auto first = sender.nextChunk(1);
     REQUIRE(first);
     CHECK_FALSE(sender.nextChunk(2));
     sender.acknowledged(receiver.accept(3, *first)->progress);
-    for (std::uint64_t k = 2; k < 2 + kSmall.windowChunks; ++k) CHECK(sender.nextChunk(k));
+    for (std::uint64_t k = 2; k < 2 + kSmallSettings.windowChunks; ++k) CHECK(sender.nextChunk(k));
     CHECK_FALSE(sender.nextChunk(9));
 }
 
@@ -219,17 +222,17 @@
                                Load{8000000, 100}, Load{8000000, 8000000});
     CAPTURE(load.state, load.change);
     CompactionPolicy policy;
-    std::size_t written = 0, log = 0, logMost = 0;
+    std::size_t written = 0, log = 0, maxLogBytes = 0;
     constexpr std::size_t kChanges = 10000;
     for (std::size_t k = 0; k < kChanges; ++k) {
         log += load.change;
-        logMost = std::max(logMost, log);
+        maxLogBytes = std::max(maxLogBytes, log);
         if (!policy.applied(load.change)) continue;
         policy.compacted(load.state);
         written += load.state;
         log = 0;
     }
-    CHECK(logMost <= std::max(CompactionPolicy::kLeastLogBytes, 2 * load.state) + load.change);
+    CHECK(maxLogBytes <= std::max(CompactionPolicy::kMinLogBytes, 2 * load.state) + load.change);
     CHECK(written > 0);
     CHECK(written / kChanges <= load.change / 2 + CompactionPolicy::kSnapshotBytesPerEntry + 1000);
 }
