--- a/src/gateway/controller/order_queue.cpp
+++ b/src/gateway/controller/order_queue.cpp
@@ -123,12 +123,12 @@
     proposed_.erase(proposed_.begin(), end);
 }
 
-void OrderQueue::readEnded(const raft::ReadEnd& end) {
+void OrderQueue::readEnded(const raft::ReadResult& end) {
     const auto at = pendingReads_.find(end.ticket);
     if (at == pendingReads_.end()) return;
     const OrderId id = at->second.id;
     pendingReads_.erase(at);
-    if (!end.sure) return replyUnavailable(id, UnavailableReason::leadershipLost);
+    if (!end.confirmed) return replyUnavailable(id, UnavailableReason::leadershipLost);
     replies_.push_back({id, OrderOutcome::readConfirmed, UnavailableReason::none, {}});
 }
 
--- a/src/gateway/controller/order_queue.h
+++ b/src/gateway/controller/order_queue.h
@@ -124,7 +124,7 @@
     /// A snapshot has replaced the entries up to and including `through`.
     void installed(raft::Index through);
     /// A read started with `ReplicatedLog::read` has ended.
-    void readEnded(const raft::ReadEnd& end);
+    void readEnded(const raft::ReadResult& end);
     /// Ends expired calls and retries those that wait for a leader. Call it after any event of the log, and
     /// at `nextDue`.
     void update(Micros now);
--- a/tests/gateway/orders_over_replicas_test.cpp
+++ b/tests/gateway/orders_over_replicas_test.cpp
@@ -24,7 +24,8 @@
 }
 
 struct Node {
-    Node(raft::Settings settings, const raft::Stored& stored) : replica(std::move(settings), stored, 0) {}
+    Node(raft::Settings settings, const raft::PersistentState& stored)
+        : replica(std::move(settings), stored, 0) {}
     raft::Replica replica;
     ReplicaLog log{replica};
     OrderQueue queue{log, {}};
@@ -37,7 +38,7 @@
         for (std::size_t index = 0; index < kNodeCount; ++index)
             settings.seeds.push_back(std::to_string(index));
         for (std::size_t index = 0; index < kNodeCount; ++index) {
-            raft::Stored stored;
+            raft::PersistentState stored;
             stored.self.set_address(std::to_string(index));
             settings.seed = index + 1;
             nodes.push_back(std::make_unique<Node>(settings, stored));
@@ -59,7 +60,7 @@
             node.queue.committed(entry.index(), entry.term(), verdict);
             if (snapshots) node.replica.compact(now, entry.index(), node.store.snapshot());
         }
-        for (const raft::ReadEnd& end : ready.reads) node.queue.readEnded(end);
+        for (const raft::ReadResult& end : ready.reads) node.queue.readEnded(end);
         for (const auto& message : ready.messages) {
             const std::size_t to = std::stoul(message.to().address());
             if (delivers(index, to)) nodes[to]->replica.receive(now, message);
