--- a/src/decisions/attempts/body_quota.cpp
+++ b/src/decisions/attempts/body_quota.cpp
@@ -9,7 +9,7 @@
     bodies_[id] = {client, worth, 0, false};
 }
 
-std::size_t BodyQuota::fairPart(std::uint64_t client) const {
+std::size_t BodyQuota::fairShare(std::uint64_t client) const {
     return settings_.bytes / (byClient_.size() + (byClient_.count(client) != 0 ? 0 : 1));
 }
 
@@ -21,28 +21,29 @@
 void BodyQuota::drop(Body& body) {
     used_ -= body.bytes;
     if (body.bytes > 0) {
-        auto& all = byClient_[body.client];
-        all -= body.bytes;
-        if (all == 0) byClient_.erase(body.client);
+        auto& clientBytes = byClient_[body.client];
+        clientBytes -= body.bytes;
+        if (clientBytes == 0) byClient_.erase(body.client);
     }
     body.bytes = 0;
     body.gone = true;
 }
 
-// Of clients over their fair part: the body of the least worth, then the largest. A client within its part
-// gives way to nobody but itself; a body is not dropped for one of less worth of the same client.
-BodyId BodyQuota::victim(std::uint64_t client, double worth, BodyId but, bool ownOnly) const {
-    const std::size_t fair = fairPart(client);
+// Candidates are the client's own bodies of less worth and, unless `ownOnly`, all bodies of clients above
+// their fair share. The candidate of least worth is chosen, and of those the largest. A client within its
+// share thus never loses a body to another client.
+BodyId BodyQuota::victim(std::uint64_t client, double worth, BodyId except, bool ownOnly) const {
+    const std::size_t share = fairShare(client);
     BodyId out = 0;
-    std::tuple<double, std::size_t> best;
+    std::tuple<double, std::size_t> highest;
     for (const auto& [id, body] : bodies_) {
-        if (id == but || body.bytes == 0) continue;
-        const bool over = byClient_.at(body.client) > fair;
-        if (body.client == client ? body.worth >= worth : !over || ownOnly) continue;
-        const std::tuple how{-body.worth, body.bytes};
-        if (out == 0 || how > best) {
+        if (id == except || body.bytes == 0) continue;
+        const bool overShare = byClient_.at(body.client) > share;
+        if (body.client == client ? body.worth >= worth : !overShare || ownOnly) continue;
+        const std::tuple rank{-body.worth, body.bytes};
+        if (out == 0 || rank > highest) {
             out = id;
-            best = how;
+            highest = rank;
         }
     }
     return out;
@@ -59,17 +60,17 @@
         return out;
     }
     while (bytes > settings_.bytes - used_) {
-        // Who would have more than a fair part gets what is free, or the room of its own bodies of less
+        // A client that would exceed its fair share only gets free memory, or that of its own bodies of less
         // worth.
-        const auto mine = byClient_.find(body.client);
-        const bool over = mine != byClient_.end() && mine->second + bytes > fairPart(body.client);
-        const BodyId gives = victim(body.client, body.worth, id, over);
-        if (gives == 0) {
+        const auto client = byClient_.find(body.client);
+        const bool overShare = client != byClient_.end() && client->second + bytes > fairShare(body.client);
+        const BodyId evicted = victim(body.client, body.worth, id, overShare);
+        if (evicted == 0) {
             drop(body);
             return out;
         }
-        drop(bodies_.at(gives));
-        out.evicted.push_back(gives);
+        drop(bodies_.at(evicted));
+        out.evicted.push_back(evicted);
     }
     body.bytes += bytes;
     used_ += bytes;
@@ -89,18 +90,18 @@
     settings_.bytes = bytes;
     std::vector<BodyId> out;
     while (used_ > bytes) {
-        // The least worth first, whoever's it is; of those the largest.
-        BodyId gives = 0;
-        std::tuple<double, std::size_t> best;
+        // The body of least worth first, whichever client it belongs to; of those the largest.
+        BodyId evicted = 0;
+        std::tuple<double, std::size_t> highest;
         for (const auto& [id, body] : bodies_) {
-            const std::tuple how{-body.worth, body.bytes};
-            if (body.bytes > 0 && (gives == 0 || how > best)) {
-                gives = id;
-                best = how;
+            const std::tuple rank{-body.worth, body.bytes};
+            if (body.bytes > 0 && (evicted == 0 || rank > highest)) {
+                evicted = id;
+                highest = rank;
             }
         }
-        drop(bodies_.at(gives));
-        out.push_back(gives);
+        drop(bodies_.at(evicted));
+        out.push_back(evicted);
     }
     return out;
 }
--- a/src/decisions/attempts/body_quota.h
+++ b/src/decisions/attempts/body_quota.h
@@ -1,6 +1,6 @@
-// Room for kept bodies, shared by many requests. What is promised is counted when it is promised, so that the
-// quota is never passed; each client with something kept has a fair part; who gives way when room is short is
-// stated here and nowhere else. No I/O.
+// The memory for buffered request bodies, shared by all requests of a process. Bytes are counted when they
+// are reserved, so the quota is never exceeded. Each client that buffers something is guaranteed a fair
+// share; which bodies are evicted when memory is short is decided here alone. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,6 +13,7 @@
 
 using BodyId = std::uint64_t;
 
+/// Accounts for the bytes of buffered bodies; the bytes themselves stay with the caller.
 class BodyQuota {
 public:
     struct Settings {
@@ -21,26 +22,27 @@
     };
     explicit BodyQuota(Settings settings) : settings_(settings) {}
 
-    // A request whose body begins to arrive; nothing is kept of it yet. `worth`: of its class, for whose
-    // bodies give way first. Its id is not used by another one that is open.
+    /// Registers a request whose body begins to arrive; nothing of it is buffered yet. `worth` is its
+    /// class's: bodies of less worth are evicted first. The id must not be in use.
     void open(BodyId id, std::uint64_t client, double worth);
     struct Grant {
         bool granted = false;
-        std::vector<BodyId> evicted;  // their bodies are gone now: they are to be dropped
+        std::vector<BodyId> evicted;  // the caller must drop the buffers of these bodies
     };
-    // So many bytes more are to be kept of it, or none at all: then its body is gone, and what was kept is
-    // free.
+    /// Reserves that many more bytes for a body. If they are not granted, the body is gone: what was buffered
+    /// of it is freed, and nothing more will be granted.
     [[nodiscard]] Grant reserve(BodyId id, std::size_t bytes);
-    // Its body is needed no more (its try is final), or was dropped.
+    /// Forgets a body: the request's last try is over, or the caller has dropped the buffer.
     void release(BodyId id);
-    // Another size, by reload; bodies give way until they fit.
+    /// Changes the total size, on a reload of the settings. Returns the bodies that were evicted to fit.
     [[nodiscard]] std::vector<BodyId> resize(std::size_t bytes);
 
     [[nodiscard]] std::size_t used() const { return used_; }
     [[nodiscard]] std::size_t open() const { return bodies_.size(); }
+    /// The bytes that are reserved for a body.
     [[nodiscard]] std::size_t kept(BodyId id) const;
-    [[nodiscard]] std::size_t fairPart(
-        std::uint64_t client) const;  // bytes, of each client that keeps something, and of this one
+    /// The bytes for each client, when shared evenly among this client and all that buffer something.
+    [[nodiscard]] std::size_t fairShare(std::uint64_t client) const;
 
 private:
     struct Body {
@@ -49,13 +51,13 @@
         std::size_t bytes = 0;
         bool gone = false;
     };
-    // The one that gives way for a body of this client and worth; 0: none.
-    [[nodiscard]] BodyId victim(std::uint64_t client, double worth, BodyId but, bool ownOnly) const;
+    // The body to evict in favour of a body of this client and worth; 0 if there is none.
+    [[nodiscard]] BodyId victim(std::uint64_t client, double worth, BodyId except, bool ownOnly) const;
     void drop(Body& body);
 
     Settings settings_;
     std::map<BodyId, Body> bodies_;
-    std::unordered_map<std::uint64_t, std::size_t> byClient_;  // bytes; those without any are absent
+    std::unordered_map<std::uint64_t, std::size_t> byClient_;  // bytes; clients without any are absent
     std::size_t used_ = 0;
 };
 
--- a/src/decisions/attempts/chains.cpp
+++ b/src/decisions/attempts/chains.cpp
@@ -22,53 +22,54 @@
     return settings_.byClass[std::min<std::size_t>(classIndex, settings_.byClass.size() - 1)];
 }
 
-bool ChainJoiner::continues(const Open& open, const Try& seen, bool byId) const {
-    const ChainRule& rule = ruleOf(seen.classIndex);
-    if (byId) return seen.at - open.end <= settings_.idKept;
-    return open.invites && open.link.number + 1 < rule.maxTries &&
-           seen.at >= open.end - settings_.timestampResolution &&
-           seen.at - open.end <= rule.maxGap + settings_.timestampResolution;
+bool ChainJoiner::continues(const Open& open, const Try& entry, bool byId) const {
+    const ChainRule& rule = ruleOf(entry.classIndex);
+    if (byId) return entry.at - open.end <= settings_.idLifetime;
+    return open.retryExpected && open.link.number + 1 < rule.maxTries &&
+           entry.at >= open.end - settings_.timestampResolution &&
+           entry.at - open.end <= rule.maxGap + settings_.timestampResolution;
 }
 
-Link ChainJoiner::join(Table& table, const Key& key, const Try& seen, bool byId) {
+Link ChainJoiner::join(Table& table, const Key& key, const Try& entry, bool byId) {
     const auto known = table.find(key);
-    const bool goesOn = known != table.end() && continues(known->second, seen, byId);
+    const bool continued = known != table.end() && continues(known->second, entry, byId);
     const Link link =
-        goesOn ? Link{known->second.link.chain, known->second.link.number + 1} : Link{++last_, 0};
-    const Open open{link, seen.at + std::max<Micros>(seen.took, 0), seen.at, clientsRetryAfter(seen.answer)};
-    if (byId || open.invites) {
+        continued ? Link{known->second.link.chain, known->second.link.number + 1} : Link{++lastChain_, 0};
+    const Open open{link, entry.at + std::max<Micros>(entry.took, 0), entry.at,
+                    clientsRetryAfter(entry.answer)};
+    if (byId || open.retryExpected) {
         table[key] = open;
-        due_.push_back({key, seen.at, byId});
+        expiries_.push_back({key, entry.at, byId});
     } else if (known != table.end()) {
-        table.erase(known);  // it is served: nothing goes on from here
+        table.erase(known);  // the request was served: no retry will follow
     }
     return link;
 }
 
-Link ChainJoiner::add(const Try& seen) {
-    forget(seen.at);
-    if (seen.requestId != 0) return join(byId_, {seen.requestId, 0, seen.classIndex}, seen, true);
-    // Nobody knows who asked: it stands for itself.
-    if (seen.client == 0) return {++last_, 0};
-    return join(byTarget_, {seen.client, seen.target, seen.classIndex}, seen, false);
+Link ChainJoiner::add(const Try& entry) {
+    expire(entry.at);
+    if (entry.requestId != 0) return join(byId_, {entry.requestId, 0, entry.classIndex}, entry, true);
+    // The client is unknown: the entry is a chain of its own.
+    if (entry.client == 0) return {++lastChain_, 0};
+    return join(byTarget_, {entry.client, entry.target, entry.classIndex}, entry, false);
 }
 
-// What no entry can continue any more, and the oldest where there are too many.
-void ChainJoiner::forget(Micros now) {
-    const Micros kept = std::max(settings_.idKept, longestGap_ + settings_.timestampResolution);
-    while (!due_.empty()) {
-        const Due& oldest = due_.front();
-        Table& table = oldest.id ? byId_ : byTarget_;
+// Forgets the chains that no entry can continue any more, and the oldest ones while too many are open.
+void ChainJoiner::expire(Micros now) {
+    const Micros lifetime = std::max(settings_.idLifetime, longestGap_ + settings_.timestampResolution);
+    while (!expiries_.empty()) {
+        const Expiry& oldest = expiries_.front();
+        Table& table = oldest.byId ? byId_ : byTarget_;
         const auto at = table.find(oldest.key);
         const bool current = at != table.end() && at->second.start == oldest.at;
         const Micros end = current ? std::max(at->second.end, oldest.at) : oldest.at;
-        const bool crowded = open() > settings_.openMost;
-        if (current && !crowded && now - end <= kept) return;
+        const bool tooMany = open() > settings_.maxOpen;
+        if (current && !tooMany && now - end <= lifetime) return;
         if (current) {
-            if (crowded && now - end <= kept) ++forgottenEarly_;
+            if (tooMany && now - end <= lifetime) ++forgottenEarly_;
             table.erase(at);
         }
-        due_.pop_front();
+        expiries_.pop_front();
     }
 }
 
--- a/src/decisions/attempts/chains.h
+++ b/src/decisions/attempts/chains.h
@@ -1,8 +1,9 @@
-// Which recorded entries are tries of one intent: one client's wish for one thing.
+// Groups recorded entries into chains: the tries by which one client pursued one request.
 //
-// With a request id: the same id of the same class. Without: the same client, class and target, where the try
-// before invites another, has ended, and lies no further back than clients wait. Entries come in the order of
-// their start.
+// Entries with a request id belong together if they have the same id and class. Without an id, an entry
+// continues the last one of the same client, class and target if that one has ended, its response makes
+// clients retry, and no more time has passed than clients wait. Entries must be added in the order of their
+// start.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +15,22 @@
 
 namespace marldale::attempts {
 
+/// One recorded entry.
 struct Try {
     Micros at = 0;                                        // its start
-    Micros took = -1;                                     // -1: not told
-    std::uint64_t client = 0, target = 0, requestId = 0;  // hashes; 0: not known
+    Micros took = -1;                                     // -1: not recorded
+    std::uint64_t client = 0, target = 0, requestId = 0;  // hashes; 0: unknown
     std::uint32_t classIndex = 0;
     Answer answer;
 };
 
+/// When a try without a request id continues a chain.
 struct ChainRule {
-    Micros maxGap = 10 * 1000000;  // from one try's end to the next one's start
+    Micros maxGap = 10 * 1000000;  // from the end of one try to the start of the next
     unsigned maxTries = 4;
 };
 
+/// An entry's place among the chains.
 struct Link {
     std::uint64_t chain = 0;  // from 1
     unsigned number = 0;      // of the try within its chain, from 0
@@ -34,25 +38,29 @@
 };
 
 struct ChainSettings {
-    std::vector<ChainRule> byClass;  // the last one stands for all that follow
-    Micros timestampResolution =
-        0;  // of the stamps: a try may seem to start this much before the last one's end
-    Micros idKept = 600 * 1000000LL;  // how long a request id is remembered
-    std::size_t openMost = 1U << 20U;
+    std::vector<ChainRule> byClass;       // by class index; the last one holds for all further classes
+    Micros timestampResolution = 0;       // a try may seem to start this much before the end of the last one
+    Micros idLifetime = 600 * 1000000LL;  // how long a request id is remembered
+    std::size_t maxOpen = 1U << 20U;
 };
 
+/// Assigns entries to chains, with bounded memory.
 class ChainJoiner {
 public:
     explicit ChainJoiner(ChainSettings settings);
 
-    [[nodiscard]] Link add(const Try& seen);
+    /// The chain that the entry belongs to: an open one that it continues, or a new one.
+    [[nodiscard]] Link add(const Try& entry);
 
-    [[nodiscard]] std::uint64_t chains() const { return last_; }
+    /// The number of chains so far.
+    [[nodiscard]] std::uint64_t chains() const { return lastChain_; }
+    /// The number of chains that a later entry may continue.
     [[nodiscard]] std::size_t open() const { return byId_.size() + byTarget_.size(); }
-    // Chains given up because too many were open at once.
+    /// The number of chains that were forgotten early because too many were open.
     [[nodiscard]] std::uint64_t forgottenEarly() const { return forgottenEarly_; }
 
 private:
+    // By request id: the id and 0. By target: client and target.
     struct Key {
         std::uint64_t a = 0, b = 0;
         std::uint32_t classIndex = 0;
@@ -61,28 +69,29 @@
     struct HashKey {
         std::size_t operator()(const Key& key) const;
     };
+    // The last try of a chain that may go on.
     struct Open {
         Link link;
         Micros end = 0, start = 0;
-        bool invites = false;
+        bool retryExpected = false;
     };
-    struct Due {
+    struct Expiry {
         Key key;
-        Micros at = 0;
-        bool id = false;
+        Micros at = 0;  // start of the try that it was queued for
+        bool byId = false;
     };
     using Table = std::unordered_map<Key, Open, HashKey>;
 
     [[nodiscard]] const ChainRule& ruleOf(std::uint32_t classIndex) const;
-    Link join(Table& table, const Key& key, const Try& seen, bool byId);
-    [[nodiscard]] bool continues(const Open& open, const Try& seen, bool byId) const;
-    void forget(Micros now);
+    Link join(Table& table, const Key& key, const Try& entry, bool byId);
+    [[nodiscard]] bool continues(const Open& open, const Try& entry, bool byId) const;
+    void expire(Micros now);
 
     ChainSettings settings_;
     Micros longestGap_ = 0;
     Table byId_, byTarget_;
-    std::deque<Due> due_;  // in the order of their last try
-    std::uint64_t last_ = 0, forgottenEarly_ = 0;
+    std::deque<Expiry> expiries_;  // in the order of their tries
+    std::uint64_t lastChain_ = 0, forgottenEarly_ = 0;
 };
 
 }  // namespace marldale::attempts
--- a/src/decisions/attempts/circuit_breaker.cpp
+++ b/src/decisions/attempts/circuit_breaker.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Micros kSecond = 1000000;
-constexpr Micros kRetryAfterMost = 3600 * kSecond;
+constexpr Micros kMaxRetryAfter = 3600 * kSecond;
 
 }  // namespace
 
@@ -21,42 +21,43 @@
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), seconds);
     if (error == std::errc{} && end == value.data() + value.size()) {
         if (seconds < 0) return std::nullopt;
-        return std::min(seconds, kRetryAfterMost / kSecond) * kSecond;
+        return std::min(seconds, kMaxRetryAfter / kSecond) * kSecond;
     }
     std::tm date{};
     const std::string text(value);
     const char* const rest = strptime(text.c_str(), "%a, %d %b %Y %H:%M:%S GMT", &date);
     if (rest == nullptr || *rest != '\0') return std::nullopt;
-    return std::clamp<Micros>(static_cast<Micros>(timegm(&date)) * kSecond - wallNow, 0, kRetryAfterMost);
+    return std::clamp<Micros>(static_cast<Micros>(timegm(&date)) * kSecond - wallNow, 0, kMaxRetryAfter);
 }
 
 void CircuitBreaker::refused(Micros now, std::optional<Micros> retryAfter) {
     if (retryAfter) {
-        shutUntil_ = std::max(shutUntil_, now + *retryAfter);
-        onTrial_ = true;
+        openUntil_ = std::max(openUntil_, now + *retryAfter);
+        tripped_ = true;
     }
-    // What went before it was shut says nothing that is not known: only a trial makes the wait longer.
-    if (refusals_ >= settings_.refusalsMost && !trialOut_) return;
+    // While the breaker is open, refusals of requests that were sent before tell nothing new; only a refused
+    // trial makes the wait longer.
+    if (refusals_ >= settings_.maxRefusals && !trialInFlight_) return;
     ++refusals_;
-    trialOut_ = false;
-    if (refusals_ < settings_.refusalsMost) return;
-    const unsigned doublings = std::min(refusals_ - settings_.refusalsMost, 20U);
-    const Micros shut = std::min(settings_.shutLeast << doublings, settings_.shutMost);
-    shutUntil_ = std::max(shutUntil_, now + shut);
-    onTrial_ = true;
+    trialInFlight_ = false;
+    if (refusals_ < settings_.maxRefusals) return;
+    const unsigned doublings = std::min(refusals_ - settings_.maxRefusals, 20U);
+    const Micros openTime = std::min(settings_.minOpenTime << doublings, settings_.maxOpenTime);
+    openUntil_ = std::max(openUntil_, now + openTime);
+    tripped_ = true;
 }
 
 void CircuitBreaker::answered() {
     refusals_ = 0;
-    onTrial_ = trialOut_ = false;
-    shutUntil_ = 0;
+    tripped_ = trialInFlight_ = false;
+    openUntil_ = 0;
 }
 
-void RetryBudget::firstTry() { kept_ = std::min(most_, kept_ + ratio_); }
+void RetryBudget::firstTry() { tokens_ = std::min(capacity_, tokens_ + ratio_); }
 
 bool RetryBudget::take() {
-    if (kept_ < 1) return false;
-    kept_ -= 1;
+    if (tokens_ < 1) return false;
+    tokens_ -= 1;
     return true;
 }
 
--- a/src/decisions/attempts/circuit_breaker.h
+++ b/src/decisions/attempts/circuit_breaker.h
@@ -1,5 +1,5 @@
-// When a box that refuses may be asked again, and how many further tries there are to spend. A refusal is an
-// answer of 429 or 503, or a dial that came to nothing.
+// When a box that refuses requests may be sent to again, and how many retries a replay may make. A refusal is
+// a response with status 429 or 503, or a failed connection attempt.
 #pragma once
 
 #include <cstdint>
@@ -10,48 +10,53 @@
 
 namespace marldale::attempts {
 
-// The seconds of a `Retry-After` header: a whole number, or a date of HTTP (RFC 9110, 10.2.3), of which what
-// is left of it at `wallNow` counts. Nothing if it is neither. At most an hour.
+/// Parses the value of a `Retry-After` header: a number of seconds, or an HTTP date (RFC 9110,
+/// section 10.2.3), which counts from `wallNow`. Returns nothing if it is neither, and an hour at most.
 [[nodiscard]] std::optional<Micros> readRetryAfter(std::string_view value, Micros wallNow);
 
-// For one box. While it is shut, nothing is sent there; then one request goes, and its answer decides.
+/// A circuit breaker for one box. While it is open, nothing is sent there. Then a single trial request is let
+/// through, and its outcome closes the breaker or keeps it open for longer.
 class CircuitBreaker {
 public:
     struct Settings {
-        unsigned refusalsMost = 5;                       // in a row, before it shuts without being told to
-        Micros shutLeast = 100000, shutMost = 10000000;  // doubled with each refusal after that
+        unsigned maxRefusals = 5;  // in a row; then the breaker opens even without a Retry-After
+        Micros minOpenTime = 100000, maxOpenTime = 10000000;  // doubled with each further refusal
     };
     explicit CircuitBreaker(Settings settings) : settings_(settings) {}
     CircuitBreaker() = default;
 
-    // True: a request may go now. A trial that this lets through must be told by `sent`.
-    [[nodiscard]] bool allows(Micros now) const { return now >= shutUntil_ && !(onTrial_ && trialOut_); }
-    void sent() { trialOut_ = onTrial_; }
+    /// Whether a request may be sent now. If it is, `sent` must be called.
+    [[nodiscard]] bool allows(Micros now) const { return now >= openUntil_ && !(tripped_ && trialInFlight_); }
+    void sent() { trialInFlight_ = tripped_; }
     void refused(Micros now, std::optional<Micros> retryAfter);
+    /// The box has responded: the breaker closes.
     void answered();
-    // The trial came to nothing that tells: it may be tried again.
-    void inconclusive() { trialOut_ = false; }
-    [[nodiscard]] Micros shutUntil() const { return shutUntil_; }
+    /// The request ended without showing anything about the box: another trial may follow.
+    void inconclusive() { trialInFlight_ = false; }
+    [[nodiscard]] Micros openUntil() const { return openUntil_; }
+    /// Consecutive refusals, not counting those of requests that were sent before the breaker opened.
     [[nodiscard]] unsigned refusals() const { return refusals_; }
 
 private:
     Settings settings_;
     unsigned refusals_ = 0;
-    Micros shutUntil_ = 0;
-    bool onTrial_ = false, trialOut_ = false;
+    Micros openUntil_ = 0;
+    bool tripped_ = false;  // open, or half-open once `openUntil_` has passed
+    bool trialInFlight_ = false;
 };
 
-// Further tries as clients had them: each first try brings `ratio` of one, and no more than `most` are kept.
+/// A token bucket for retries: each first try adds `ratio` of a token, up to `capacity`, and a retry takes
+/// one.
 class RetryBudget {
 public:
-    RetryBudget(double ratio, double most) : ratio_(ratio), most_(most), kept_(most) {}
+    RetryBudget(double ratio, double capacity) : ratio_(ratio), capacity_(capacity), tokens_(capacity) {}
     void firstTry();
-    // Takes one, if there is one.
+    /// Takes a token; false if there is none.
     [[nodiscard]] bool take();
-    [[nodiscard]] double kept() const { return kept_; }
+    [[nodiscard]] double tokens() const { return tokens_; }
 
 private:
-    double ratio_, most_, kept_;
+    double ratio_, capacity_, tokens_;
 };
 
 }  // namespace marldale::attempts
--- a/src/decisions/attempts/effect_ledger.cpp
+++ b/src/decisions/attempts/effect_ledger.cpp
@@ -2,8 +2,9 @@
 
 namespace marldale::attempts {
 
-const char* name(SendVerdict word) {
-    switch (word) {
+// These texts are keys in the results of a replay, so they must not change.
+const char* name(SendVerdict verdict) {
+    switch (verdict) {
         case SendVerdict::send: return "sent";
         case SendVerdict::leaveOutOpen: return "its request is out";
         case SendVerdict::leaveOutDone: return "its effect stands";
@@ -15,45 +16,45 @@
     return "?";
 }
 
-SendVerdict EffectLedger::decide(const SendRequest& wish) const {
-    const auto known = states_.find(wish.intent);
+SendVerdict EffectLedger::decide(const SendRequest& request) const {
+    const auto known = states_.find(request.intent);
     if (known != states_.end()) {
         switch (known->second) {
             case State::open: return SendVerdict::leaveOutOpen;
             case State::done: return SendVerdict::leaveOutDone;
-            case State::maybe: return SendVerdict::leaveOutUncertain;
+            case State::uncertain: return SendVerdict::leaveOutUncertain;
             case State::free: break;
         }
     }
-    if (wish.recorded != Effect::unknown) return SendVerdict::send;
+    if (request.recorded != Effect::unknown) return SendVerdict::send;
     if (settings_.unknown == UnknownPolicy::leaveOut) return SendVerdict::leaveOutUnrecorded;
-    if (wish.kin == 0) return SendVerdict::send;
-    const auto kin = kin_.find(wish.kin);
-    const bool near = kin != kin_.end() && wish.at - kin->second <= settings_.kinWithin;
-    return near ? SendVerdict::leaveOutPossibleRepeat : SendVerdict::send;
+    if (request.clientTargetHash == 0) return SendVerdict::send;
+    const auto last = lastSent_.find(request.clientTargetHash);
+    const bool recent = last != lastSent_.end() && request.at - last->second <= settings_.repeatWindow;
+    return recent ? SendVerdict::leaveOutPossibleRepeat : SendVerdict::send;
 }
 
-void EffectLedger::begun(const SendRequest& wish) {
-    states_[wish.intent] = State::open;
-    if (wish.kin != 0) kin_[wish.kin] = wish.at;
+void EffectLedger::begun(const SendRequest& request) {
+    states_[request.intent] = State::open;
+    if (request.clientTargetHash != 0) lastSent_[request.clientTargetHash] = request.at;
 }
 
 void EffectLedger::ended(Intent intent, Effect live) {
     const auto known = states_.find(intent);
     if (known == states_.end()) return;
-    // What has had its effect keeps it, whatever a later word says.
-    if (known->second == State::done || known->second == State::maybe) return;
+    // An intent that has or may have taken effect stays so, whatever a later response says.
+    if (known->second == State::done || known->second == State::uncertain) return;
     switch (live) {
         case Effect::done: known->second = State::done; return;
         case Effect::notDone: known->second = State::free; return;
         case Effect::none:
-        case Effect::unknown: known->second = State::maybe; return;
+        case Effect::unknown: known->second = State::uncertain; return;
     }
 }
 
 void EffectLedger::markOpenUncertain() {
     for (auto& [intent, state] : states_) {
-        if (state == State::open) state = State::maybe;
+        if (state == State::open) state = State::uncertain;
     }
 }
 
@@ -63,7 +64,7 @@
         switch (state) {
             case State::open: ++out.open; break;
             case State::done: ++out.done; break;
-            case State::maybe: ++out.maybe; break;
+            case State::uncertain: ++out.uncertain; break;
             case State::free: ++out.free; break;
         }
     }
--- a/src/decisions/attempts/effect_ledger.h
+++ b/src/decisions/attempts/effect_ledger.h
@@ -1,9 +1,9 @@
-// What may be sent of a class whose requests must never run twice. One intent has at most one effect, over a
-// whole replay and every run that resumes it.
+// Decides which recorded requests a replay may send, for classes whose requests must never run twice. Each
+// intent takes effect at most once, over a whole replay and all runs that resume it.
 //
-// The order of words is the rule: `ask`, then the journal holds `begun`, then the request is sent, then
-// `ended`. Whoever resumes tells what the journal holds; an intent that was begun and has no end may have had
-// its effect, so it is spent.
+// The order of the calls guarantees it: `decide`, write `begun` to the journal, send the request, then
+// `ended`. A run that resumes restores the ledger from the journal. An intent that has begun and not ended
+// may have taken effect, so it is not sent again.
 #pragma once
 
 #include <cstdint>
@@ -14,59 +14,70 @@
 
 namespace marldale::attempts {
 
+/// Identifies what a client wanted to achieve with one request and all its retries.
 using Intent = std::uint64_t;
 
+/// What to do with a request whose recorded effect is unknown.
 enum class UnknownPolicy : std::uint8_t { leaveOut, once };
 
+/// Whether a request is sent; every value but `send` is a reason to leave it out.
 enum class SendVerdict : std::uint8_t {
-    send,                    // under a key of this replay's own
-    leaveOutOpen,            // its request is out
-    leaveOutDone,            // its effect stands
-    leaveOutUncertain,       // its effect may stand: a run ended, or an answer did not tell
-    leaveOutUnrecorded,      // the record does not say whether it happened
-    leaveOutPossibleRepeat,  // so, and the same client has asked for the same thing without an id a short
-                             // while ago
+    send,                    // with an idempotency key that this replay makes up
+    leaveOutOpen,            // a request of the intent is in flight
+    leaveOutDone,            // the intent has taken effect
+    leaveOutUncertain,       // it may have taken effect: a run broke off, or a response proved nothing
+    leaveOutUnrecorded,      // the recording does not show whether it took effect
+    leaveOutPossibleRepeat,  // nor that, nor whether it repeats a recent request without an id, of the same
+                             // client and target
 };
-[[nodiscard]] const char* name(SendVerdict word);
-[[nodiscard]] constexpr bool sends(SendVerdict word) { return word == SendVerdict::send; }
+/// The verdict as text; a key in the results of a replay.
+[[nodiscard]] const char* name(SendVerdict verdict);
+[[nodiscard]] constexpr bool sends(SendVerdict verdict) { return verdict == SendVerdict::send; }
 
+/// A recorded request that the replay would send.
 struct SendRequest {
     Intent intent = 0;
-    Effect recorded = Effect::unknown;  // of this try
-    std::uint64_t kin = 0;              // client and target where there was no request id; 0: there was one
-    Micros at = 0;                      // recorded
+    Effect recorded = Effect::unknown;   // of this try
+    std::uint64_t clientTargetHash = 0;  // of client and target; 0 if the request had an id
+    Micros at = 0;                       // when it was recorded
 };
 
+/// The state of every intent that the replay has sent.
 class EffectLedger {
 public:
     struct Settings {
         UnknownPolicy unknown = UnknownPolicy::leaveOut;
-        Micros kinWithin = 600 * 1000000LL;
+        // Two requests of unknown effect without an id, of the same client and target, may be tries of one
+        // intent when they were recorded within this time.
+        Micros repeatWindow = 600 * 1000000LL;
     };
     explicit EffectLedger(Settings settings) : settings_(settings) {}
 
-    [[nodiscard]] SendVerdict decide(const SendRequest& wish) const;
+    [[nodiscard]] SendVerdict decide(const SendRequest& request) const;
 
-    // The journal holds it; the request may go.
-    void begun(const SendRequest& wish);
-    // The live answer. Only `notDone` frees the intent for another try; anything else spends it.
+    /// Notes that the request is about to be sent; the journal must hold it before it is.
+    void begun(const SendRequest& request);
+    /// Notes the effect that the live response shows. Only `notDone` allows another try of the intent.
     void ended(Intent intent, Effect live);
 
-    // Once a journal has been told in its order: what is begun and not ended may have happened.
+    /// Marks all open intents as uncertain, after a whole journal has been read: whatever began and did not
+    /// end may have taken effect.
     void markOpenUncertain();
 
+    /// The number of intents in each state.
     struct Counts {
-        std::uint64_t open = 0, done = 0, maybe = 0, free = 0;
+        std::uint64_t open = 0, done = 0, uncertain = 0, free = 0;
     };
     [[nodiscard]] Counts counts() const;
     [[nodiscard]] std::size_t size() const { return states_.size(); }
 
 private:
-    enum class State : std::uint8_t { open, done, maybe, free };
+    enum class State : std::uint8_t { open, done, uncertain, free };
 
     Settings settings_;
     std::unordered_map<Intent, State> states_;
-    std::unordered_map<std::uint64_t, Micros> kin_;  // when a kin's unrecorded intent was last sent
+    std::unordered_map<std::uint64_t, Micros> lastSent_;  // by client and target: recorded time of the last
+                                                          // request without an id that was sent
 };
 
 }  // namespace marldale::attempts
--- a/src/decisions/attempts/journal.cpp
+++ b/src/decisions/attempts/journal.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr unsigned char kMagic = 0xa7;
-constexpr std::size_t kCheckAt = 4, kIntentAt = 8, kKinAt = 16, kTimeAt = 24;
+constexpr std::size_t kChecksumOffset = 4, kIntentOffset = 8, kClientTargetOffset = 16, kTimeOffset = 24;
 
 template <class T>
 void put(char* at, T value) {  // least significant byte first
@@ -24,11 +24,11 @@
     return out;
 }
 
-// Of all bytes but the checksum's own.
-std::uint32_t checkOf(const char* bytes) {
+// The checksum of a record, computed with zeros in place of the checksum itself.
+std::uint32_t checksum(const char* bytes) {
     std::array<char, kJournalRecordBytes> copy{};
     std::memcpy(copy.data(), bytes, kJournalRecordBytes);
-    std::memset(copy.data() + kCheckAt, 0, sizeof(std::uint32_t));
+    std::memset(copy.data() + kChecksumOffset, 0, sizeof(std::uint32_t));
     return XXH32(copy.data(), copy.size(), kMagic);
 }
 
@@ -39,23 +39,23 @@
     out[0] = static_cast<char>(kMagic);
     out[1] = static_cast<char>(record.kind);
     out[2] = static_cast<char>(record.effect);
-    put<std::uint64_t>(out.data() + kIntentAt, record.intent);
-    put<std::uint64_t>(out.data() + kKinAt, record.kin);
-    put<std::uint64_t>(out.data() + kTimeAt, static_cast<std::uint64_t>(record.at));
-    put<std::uint32_t>(out.data() + kCheckAt, checkOf(out.data()));
+    put<std::uint64_t>(out.data() + kIntentOffset, record.intent);
+    put<std::uint64_t>(out.data() + kClientTargetOffset, record.clientTargetHash);
+    put<std::uint64_t>(out.data() + kTimeOffset, static_cast<std::uint64_t>(record.at));
+    put<std::uint32_t>(out.data() + kChecksumOffset, checksum(out.data()));
     return out;
 }
 
 std::optional<JournalRecord> decode(std::string_view bytes) {
     if (bytes.size() < kJournalRecordBytes || static_cast<unsigned char>(bytes[0]) != kMagic)
         return std::nullopt;
-    if (get<std::uint32_t>(bytes.data() + kCheckAt) != checkOf(bytes.data())) return std::nullopt;
+    if (get<std::uint32_t>(bytes.data() + kChecksumOffset) != checksum(bytes.data())) return std::nullopt;
     const auto kind = static_cast<unsigned char>(bytes[1]), effect = static_cast<unsigned char>(bytes[2]);
     if (kind < 1 || kind > 5 || effect > static_cast<unsigned char>(Effect::unknown)) return std::nullopt;
     return JournalRecord{static_cast<JournalRecord::Kind>(kind), static_cast<Effect>(effect),
-                         get<std::uint64_t>(bytes.data() + kIntentAt),
-                         get<std::uint64_t>(bytes.data() + kKinAt),
-                         static_cast<std::int64_t>(get<std::uint64_t>(bytes.data() + kTimeAt))};
+                         get<std::uint64_t>(bytes.data() + kIntentOffset),
+                         get<std::uint64_t>(bytes.data() + kClientTargetOffset),
+                         static_cast<std::int64_t>(get<std::uint64_t>(bytes.data() + kTimeOffset))};
 }
 
 JournalRead readJournal(std::string_view bytes) {
@@ -64,7 +64,7 @@
         const std::string_view rest = bytes.substr(out.whole);
         const auto record = decode(rest);
         if (!record) {
-            // A record is written in one piece at the end: only the last one can be torn.
+            // Records are only ever appended, so only the last one can be incomplete.
             out.torn = rest.size() <= kJournalRecordBytes;
             out.damaged = !out.torn;
             return out;
@@ -77,17 +77,19 @@
 
 Resumed restoreLedger(const std::vector<JournalRecord>& records, EffectLedger& ledger) {
     Resumed out;
-    for (const JournalRecord& r : records) {
-        switch (r.kind) {
+    for (const JournalRecord& record : records) {
+        switch (record.kind) {
             case JournalRecord::Kind::run:
                 ++out.runs;
-                out.trace = r.intent;
-                out.settings = static_cast<std::uint64_t>(r.at);
+                out.trace = record.intent;
+                out.settings = static_cast<std::uint64_t>(record.at);
                 out.finished = false;
                 break;
-            case JournalRecord::Kind::begun: ledger.begun({r.intent, Effect::unknown, r.kin, r.at}); break;
-            case JournalRecord::Kind::ended: ledger.ended(r.intent, r.effect); break;
-            case JournalRecord::Kind::reached: out.from = r.intent; break;
+            case JournalRecord::Kind::begun:
+                ledger.begun({record.intent, Effect::unknown, record.clientTargetHash, record.at});
+                break;
+            case JournalRecord::Kind::ended: ledger.ended(record.intent, record.effect); break;
+            case JournalRecord::Kind::reached: out.from = record.intent; break;
             case JournalRecord::Kind::finished: out.finished = true; break;
         }
     }
--- a/src/decisions/attempts/outcome.cpp
+++ b/src/decisions/attempts/outcome.cpp
@@ -3,17 +3,19 @@
 namespace marldale::attempts {
 namespace {
 
-constexpr int kRequestTimeout = 408, kConflict = 409, kTooEarly = 425, kTooMany = 429;
-constexpr int kClientWentAway = 499;  // nginx's own
+constexpr int kRequestTimeout = 408, kConflict = 409, kTooEarly = 425, kTooManyRequests = 429;
+constexpr int kClientClosedRequest =
+    499;  // not in any RFC; nginx logs it when the client closes the connection
 
-Effect ofStatus(const Answer& answer) {
+Effect effectOfStatus(const Answer& answer) {
     const int status = answer.status;
     if (status >= 200 && status < 300) {
+        // Otherwise an empty body does not prove that the request ran.
         const bool needsNoBody = status == 201 || status == 204 || status == 205;
         return needsNoBody || answer.bytes != 0 ? Effect::done : Effect::unknown;
     }
-    const bool clients = status >= 400 && status < 500;
-    if (!clients || status == kRequestTimeout || status == kConflict || status == kClientWentAway) {
+    const bool clientError = status >= 400 && status < 500;
+    if (!clientError || status == kRequestTimeout || status == kConflict || status == kClientClosedRequest) {
         return Effect::unknown;
     }
     return Effect::notDone;
@@ -24,7 +26,7 @@
 const char* name(Ended ended) {
     switch (ended) {
         case Ended::answered: return "answered";
-        case Ended::notRecorded: return "not told";
+        case Ended::notRecorded: return "not recorded";
         case Ended::aborted: return "aborted";
         case Ended::timedOut: return "timed out";
         case Ended::cut: return "cut off";
@@ -46,13 +48,13 @@
 Effect effectOf(const Answer& answer, bool hasEffect) {
     if (!hasEffect) return Effect::none;
     if (answer.ended == Ended::neverSent) return Effect::notDone;
-    return answer.ended == Ended::answered ? ofStatus(answer) : Effect::unknown;
+    return answer.ended == Ended::answered ? effectOfStatus(answer) : Effect::unknown;
 }
 
 bool clientsRetryAfter(const Answer& answer) {
     if (answer.ended != Ended::answered) return true;
     return answer.status >= 500 || answer.status == kRequestTimeout || answer.status == kTooEarly ||
-           answer.status == kTooMany || answer.status == kClientWentAway;
+           answer.status == kTooManyRequests || answer.status == kClientClosedRequest;
 }
 
 }  // namespace marldale::attempts
--- a/src/decisions/attempts/outcome.h
+++ b/src/decisions/attempts/outcome.h
@@ -1,5 +1,5 @@
-// What the answer to a try says of its effect. Classes whose requests must never run twice have effects; for
-// them an outcome that is not proven counts as one that may have happened.
+// What the end of a try shows about its effect. Only requests that must never run twice have effects; for
+// them, an outcome that proves nothing counts as one that may have taken effect.
 #pragma once
 
 #include <cstdint>
@@ -8,31 +8,34 @@
 
 namespace marldale::attempts {
 
+/// How a try ended.
 enum class Ended : std::uint8_t {
-    answered,     // the status tells
-    notRecorded,  // the record has no status
+    answered,     // with a response; its status says more
+    notRecorded,  // unknown: the recording has no status
     aborted,      // the client went away
-    timedOut,     // nobody answered in time
-    cut,          // the connection or the record broke off
-    neverSent,    // proof that no byte of it reached a server: the dial was refused, or it was blocked
+    timedOut,     // there was no response in time
+    cut,          // the connection, or the recording, broke off
+    neverSent,    // no byte reached a server: the connection was refused, or the request was blocked
 };
 
+/// How a try ended, with what is known of the response.
 struct Answer {
     Ended ended = Ended::notRecorded;
     int status = 0;           // 100 to 599; 0: none
-    std::int64_t bytes = -1;  // of the reply's body; -1: not told
+    std::int64_t bytes = -1;  // size of the response's body; -1: unknown
     bool operator==(const Answer&) const = default;
 };
 
+/// Whether a try has taken effect; `none`: its class has no effects.
 enum class Effect : std::uint8_t { none, done, notDone, unknown };
 
 [[nodiscard]] const char* name(Ended ended);
 [[nodiscard]] const char* name(Effect effect);
 
-// `hasEffect`: the class must not run twice. Otherwise the effect is `none`.
+/// The effect that an answer shows. `hasEffect`: the request's class must not run twice.
 [[nodiscard]] Effect effectOf(const Answer& answer, bool hasEffect);
 
-// Whether clients ask again after such an answer: no answer, 5xx, 408, 425, 429, 499.
+/// Whether clients usually retry after such an answer: no response, 5xx, 408, 425, 429 or 499.
 [[nodiscard]] bool clientsRetryAfter(const Answer& answer);
 
 }  // namespace marldale::attempts
--- a/src/decisions/attempts/retry_budgets.cpp
+++ b/src/decisions/attempts/retry_budgets.cpp
@@ -4,45 +4,45 @@
 
 namespace marldale::attempts {
 
-double& RetryBudgets::Many::of(std::uint64_t who) {
-    const auto at = places_.find(who);
-    if (at != places_.end()) {
+double& RetryBudgets::KeyedBuckets::of(std::uint64_t key) {
+    const auto at = positions_.find(key);
+    if (at != positions_.end()) {
         buckets_.splice(buckets_.begin(), buckets_, at->second);
-        return buckets_.front().left;
+        return buckets_.front().tokens;
     }
-    if (places_.size() >= most_) {
-        places_.erase(buckets_.back().who);
+    if (positions_.size() >= maxKeys_) {
+        positions_.erase(buckets_.back().key);
         buckets_.pop_back();
     }
-    buckets_.push_front({who, size_.most});
-    places_[who] = buckets_.begin();
-    return buckets_.front().left;
+    buckets_.push_front({key, size_.most});
+    positions_[key] = buckets_.begin();
+    return buckets_.front().tokens;
 }
 
-void RetryBudgets::Many::firstTry(std::uint64_t who) {
-    double& left = of(who);
-    left = std::min(size_.most, left + size_.ratio);
+void RetryBudgets::KeyedBuckets::firstTry(std::uint64_t key) {
+    double& tokens = of(key);
+    tokens = std::min(size_.most, tokens + size_.ratio);
 }
 
 RetryBudgets::RetryBudgets(Settings settings, std::size_t classes)
     : settings_(settings),
       overAll_(settings.overAll.most),
       byClass_(classes, settings.ofClass.most),
-      clients_(settings.ofClient, settings.remembered),
-      boxes_(settings.ofBox, settings.remembered) {}
+      clients_(settings.ofClient, settings.maxKeys),
+      boxes_(settings.ofBox, settings.maxKeys) {}
 
-void RetryBudgets::count(bool repeat, Micros now) {
-    if (now - spanFrom_ >= settings_.span || now < spanFrom_) {
-        const double all = first_ + repeats_;
-        const double share = all > 0 ? repeats_ / all : 0;
-        // A span without much in it ends a storm, and begins none.
-        if (all < settings_.stormLeast || share <= settings_.stormAt / 2) storm_ = false;
-        spanFrom_ = now;
-        first_ = repeats_ = 0;
+void RetryBudgets::count(bool retry, Micros now) {
+    if (now - spanStart_ >= settings_.span || now < spanStart_) {
+        const double all = firstTries_ + retries_;
+        const double share = all > 0 ? retries_ / all : 0;
+        // A span with few tries ends a storm and can't begin one.
+        if (all < settings_.minStormTries || share <= settings_.stormAt / 2) storm_ = false;
+        spanStart_ = now;
+        firstTries_ = retries_ = 0;
     }
-    (repeat ? repeats_ : first_) += 1;
-    const double all = first_ + repeats_;
-    if (all >= settings_.stormLeast && repeats_ >= settings_.stormAt * all) storm_ = true;
+    (retry ? retries_ : firstTries_) += 1;
+    const double all = firstTries_ + retries_;
+    if (all >= settings_.minStormTries && retries_ >= settings_.stormAt * all) storm_ = true;
 }
 
 void RetryBudgets::firstTry(std::size_t klass, std::uint64_t client, std::uint64_t box, Micros now) {
@@ -54,7 +54,7 @@
 }
 
 bool RetryBudgets::take(std::size_t klass, std::uint64_t client, std::uint64_t box, Micros now) {
-    // What is asked for counts towards the storm whether it is granted or not: that is what a storm is.
+    // A retry counts towards a storm whether it is granted or not: a storm is made of what clients demand.
     count(true, now);
     double &ofClient = clients_.of(client), &ofBox = boxes_.of(box);
     if (storm_ || overAll_ < 1 || byClass_[klass] < 1 || ofClient < 1 || ofBox < 1) return false;
--- a/src/decisions/attempts/retry_budgets.h
+++ b/src/decisions/attempts/retry_budgets.h
@@ -1,5 +1,6 @@
-// How many tries may be repeats: over all, by class, by client and by box, and a breaker for storms. A try
-// that one of them refuses takes from none. No I/O; times are values.
+// Limits how many tries may be retries: token buckets for all requests, and for each class, client and box,
+// and a stop on all retries when they surge. A retry that one of them refuses takes from none. No I/O; times
+// are passed in.
 #pragma once
 
 #include <cstdint>
@@ -11,59 +12,64 @@
 
 namespace marldale::attempts {
 
+/// The retry budgets of one proxy.
 class RetryBudgets {
 public:
+    /// Of a token bucket.
     struct Size {
-        double ratio = 0.2;  // of a further try that each first one brings
-        double most = 20;    // saved up
+        double ratio = 0.2;  // tokens that each first try adds; a retry takes one
+        double most = 20;    // capacity
         bool operator==(const Size&) const = default;
     };
     struct Settings {
         Size overAll, ofClass, ofClient{1, 10}, ofBox{0.5, 20};
-        // Repeats among all tries of a span; at `stormAt` nothing is repeated until it has fallen to half of
-        // that.
+        // When this share of the tries in a span are retries, a retry storm begins: none is granted any more
+        // until a span has ended with half of this share, or less.
         double stormAt = 0.5;
         Micros span = 1000000;
-        double stormLeast = 50;          // tries in a span, below which there is no storm
-        std::size_t remembered = 20000;  // clients, and boxes: those that were seen last
+        double minStormTries = 50;    // in a span; with fewer there is no storm
+        std::size_t maxKeys = 20000;  // clients, and boxes: the least recently used ones are forgotten
     };
     RetryBudgets(Settings settings, std::size_t classes);
 
+    /// Notes the first try of a request.
     void firstTry(std::size_t klass, std::uint64_t client, std::uint64_t box, Micros now);
-    // A repeat of a request of this client, after a try at this box. Takes one from each, or from none.
+    /// Whether a request of this client may be retried, after a try at this box. Takes a token from each
+    /// bucket, or from none.
     [[nodiscard]] bool take(std::size_t klass, std::uint64_t client, std::uint64_t box, Micros now);
 
     [[nodiscard]] bool storm() const { return storm_; }
-    [[nodiscard]] std::size_t remembered() const { return clients_.size() + boxes_.size(); }
+    /// The number of clients and boxes that have a bucket.
+    [[nodiscard]] std::size_t keys() const { return clients_.size() + boxes_.size(); }
 
 private:
-    // Buckets by who they are for; the one that was used longest ago is forgotten first. A newcomer's is
-    // full.
-    class Many {
+    // Buckets by client or box, in bounded number; the least recently used one is forgotten first. A new
+    // bucket is full.
+    class KeyedBuckets {
     public:
-        Many(Size size, std::size_t most) : size_(size), most_(most) {}
-        double& of(std::uint64_t who);
-        void firstTry(std::uint64_t who);
-        [[nodiscard]] std::size_t size() const { return places_.size(); }
+        KeyedBuckets(Size size, std::size_t maxKeys) : size_(size), maxKeys_(maxKeys) {}
+        double& of(std::uint64_t key);
+        void firstTry(std::uint64_t key);
+        [[nodiscard]] std::size_t size() const { return positions_.size(); }
 
     private:
         struct Bucket {
-            std::uint64_t who = 0;
-            double left = 0;
+            std::uint64_t key = 0;
+            double tokens = 0;
         };
         const Size size_;
-        const std::size_t most_;
-        std::list<Bucket> buckets_;  // the one used last in front
-        std::unordered_map<std::uint64_t, std::list<Bucket>::iterator> places_;
+        const std::size_t maxKeys_;
+        std::list<Bucket> buckets_;  // the most recently used one in front
+        std::unordered_map<std::uint64_t, std::list<Bucket>::iterator> positions_;
     };
-    void count(bool repeat, Micros now);
+    void count(bool retry, Micros now);
 
     const Settings settings_;
     double overAll_;
     std::vector<double> byClass_;
-    Many clients_, boxes_;
-    Micros spanFrom_ = 0;
-    double first_ = 0, repeats_ = 0;  // in this span
+    KeyedBuckets clients_, boxes_;
+    Micros spanStart_ = 0;
+    double firstTries_ = 0, retries_ = 0;  // in this span
     bool storm_ = false;
 };
 
--- a/src/decisions/attempts/retry_decision.cpp
+++ b/src/decisions/attempts/retry_decision.cpp
@@ -3,39 +3,40 @@
 namespace marldale::attempts {
 namespace {
 
-// Whether a second run does no harm.
-bool mayRunTwice(const RetryContext& q) {
-    if (q.repeat == Repeat::retryable) return true;
-    return q.repeat == Repeat::dedup && q.hasKey && q.sinceFirst >= 0 &&
-           q.sinceFirst + q.clockError < q.window;
+// Whether running the request a second time does no harm.
+bool mayRunTwice(const RetryContext& context) {
+    if (context.repeat == Repeat::retryable) return true;
+    return context.repeat == Repeat::dedup && context.hasDedupKey && context.sinceFirstTry >= 0 &&
+           context.sinceFirstTry + context.clockError < context.dedupWindow;
 }
 
 }  // namespace
 
-const char* name(RetryDecision why) {
-    switch (why) {
-        case RetryDecision::retry: return "again";
-        case RetryDecision::answered: return "it was answered";
-        case RetryDecision::notOrdered: return "no more tries are ordered";
-        case RetryDecision::noTime: return "there is no time left";
-        case RetryDecision::bodyGone: return "its body is gone";
-        case RetryDecision::mayHaveRun: return "it may have run, and must not run twice";
-        case RetryDecision::windowOver: return "its key may be forgotten";
-        case RetryDecision::noBudget: return "there are too many repeats";
+const char* name(RetryDecision decision) {
+    switch (decision) {
+        case RetryDecision::retry: return "retry";
+        case RetryDecision::answered: return "the response is final";
+        case RetryDecision::notOrdered: return "the retry mode allows no more tries";
+        case RetryDecision::noTime: return "no time is left";
+        case RetryDecision::bodyGone: return "the body is no longer available";
+        case RetryDecision::mayHaveRun: return "the request may have run and must not run twice";
+        case RetryDecision::windowOver: return "the idempotency key may have expired";
+        case RetryDecision::noBudget: return "the retry budget is exhausted";
     }
     return "?";
 }
 
-RetryDecision decideRetry(const RetryContext& q) {
-    if (q.proof == Proof::ran && !q.failed) return RetryDecision::answered;
-    if (q.tries >= maxTries(q.mode)) return RetryDecision::notOrdered;
-    // Mode 1 repeats only what has not run.
-    if (q.mode < 2 && q.proof != Proof::notRun)
-        return q.proof == Proof::ran ? RetryDecision::answered : RetryDecision::notOrdered;
-    if (q.timeLeft <= 0) return RetryDecision::noTime;
-    if (q.body == BodyState::gone) return RetryDecision::bodyGone;
-    if (q.proof == Proof::notRun || mayRunTwice(q)) return RetryDecision::retry;
-    return q.repeat == Repeat::dedup && q.hasKey ? RetryDecision::windowOver : RetryDecision::mayHaveRun;
+RetryDecision decideRetry(const RetryContext& context) {
+    if (context.proof == Proof::ran && !context.failed) return RetryDecision::answered;
+    if (context.tries >= maxTries(context.mode)) return RetryDecision::notOrdered;
+    // Mode 1 retries only what has not run.
+    if (context.mode < 2 && context.proof != Proof::notRun)
+        return context.proof == Proof::ran ? RetryDecision::answered : RetryDecision::notOrdered;
+    if (context.timeLeft <= 0) return RetryDecision::noTime;
+    if (context.body == BodyState::gone) return RetryDecision::bodyGone;
+    if (context.proof == Proof::notRun || mayRunTwice(context)) return RetryDecision::retry;
+    return context.repeat == Repeat::dedup && context.hasDedupKey ? RetryDecision::windowOver
+                                                                  : RetryDecision::mayHaveRun;
 }
 
 }  // namespace marldale::attempts
--- a/src/decisions/attempts/retry_decision.h
+++ b/src/decisions/attempts/retry_decision.h
@@ -1,4 +1,5 @@
-// May a request be tried again? One function for whoever forwards or replays, with its reason. No I/O.
+// Decides whether a request may be retried, and if not, why. Everything that forwards requests uses this one
+// function. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -7,50 +8,55 @@
 
 namespace marldale::attempts {
 
-// What the end of a try proves of its having run.
+/// What the end of a try proves about whether the request ran.
 enum class Proof : std::uint8_t {
-    ran,      // the box has answered
-    notRun,   // it could not be dialled, not a byte left, or the box says so
+    ran,      // the box sent a response
+    notRun,   // the connection failed, no byte was sent, or the box says that it did not run
     unknown,  // anything else
 };
 
-// What is left of a request's body.
+/// How much of a request's body can still be sent again.
 enum class BodyState : std::uint8_t {
-    whole,     // there is none, or all of it is kept
-    arriving,  // all that came is kept, and the rest will follow
-    gone,      // a part is kept no more, or was found damaged
+    whole,     // there is no body, or all of it is buffered
+    arriving,  // everything received so far is buffered, and the rest will follow
+    gone,      // a part is no longer buffered, or was found to be corrupt
 };
 
+/// Everything that decides about a retry, except the retry budgets.
 struct RetryContext {
     Proof proof = Proof::unknown;
-    bool failed = true;  // the answer, if there was one, is one to try again after (5xx)
+    bool failed = true;  // there was no response, or one that may be retried (5xx)
     Repeat repeat = Repeat::fragile;
-    // Of dedup: it carries a key, and its first try was sent so long ago. The window is the boxes'; clocks
-    // may differ by `clockError`, which is taken off it.
-    bool hasKey = false;
-    Micros sinceFirst = 0, window = 0, clockError = 0;
+    // For Repeat::dedup only: whether the request carries an idempotency key, the time since its first try
+    // was sent, how long boxes remember keys, and by how much clocks may differ. The clock error shortens
+    // the window.
+    bool hasDedupKey = false;
+    Micros sinceFirstTry = 0, dedupWindow = 0, clockError = 0;
     BodyState body = BodyState::whole;
     unsigned tries = 1;   // made so far
-    unsigned mode = 0;    // the planner's order: 0 never, 1 once if proven not to have run, 2 once, 3 twice
-    Micros timeLeft = 0;  // until its client gives up
+    unsigned mode = 0;    // set by the planner: 0 never, 1 once if proven not to have run, 2 once, 3 twice
+    Micros timeLeft = 0;  // until the client gives up
 };
 
+/// The decision about a retry; every value but `retry` is a reason against it.
 enum class RetryDecision : std::uint8_t {
     retry,
-    answered,    // well, or by a refusal that is the client's to hear
-    notOrdered,  // the planner orders no more tries
-    noTime,      // its client has given up, or will have
-    bodyGone,
-    mayHaveRun,  // and must not run twice
-    windowOver,  // dedup: no box is sure to remember its key any more
-    noBudget,    // of tries: class, client, box, all, or the storm breaker
+    answered,    // the response goes to the client: a success, or a refusal that the client must see
+    notOrdered,  // the planner's mode allows no more tries
+    noTime,      // the client has given up, or would have by then
+    bodyGone,    // the body can't be sent again
+    mayHaveRun,  // and the request must not run twice
+    windowOver,  // Repeat::dedup: the boxes may have forgotten the key
+    noBudget,    // a retry budget (total, class, client or box) is empty, or retries have surged
 };
-[[nodiscard]] const char* name(RetryDecision why);
+/// The decision as text, for logs and tests.
+[[nodiscard]] const char* name(RetryDecision decision);
 
-// Everything but the budget, which is asked last and only if this says `retry`.
-[[nodiscard]] RetryDecision decideRetry(const RetryContext& question);
+/// Decides on everything but the budgets. Callers ask those last, and only after `retry`, so that a retry
+/// that is not made costs nothing.
+[[nodiscard]] RetryDecision decideRetry(const RetryContext& context);
 
-// Further tries that an order allows, the first one included.
+/// The number of tries, the first one included, that a retry mode allows.
 [[nodiscard]] constexpr unsigned maxTries(unsigned mode) { return mode == 0 ? 1 : mode == 3 ? 3 : 2; }
 
 }  // namespace marldale::attempts
--- a/src/decisions/attempts/schedule.cpp
+++ b/src/decisions/attempts/schedule.cpp
@@ -6,9 +6,9 @@
 
 namespace marldale::attempts {
 
-double uniformDraw(std::uint64_t seed, std::uint64_t of) {
-    pcg32 random(seed, of);
-    (void)random();  // the first draw of neighbouring streams is alike
+double uniformDraw(std::uint64_t seed, std::uint64_t stream) {
+    pcg32 random(seed, stream);
+    (void)random();  // the first draws of neighbouring streams are similar
     return random() / 4294967296.0;
 }
 
@@ -19,9 +19,9 @@
 }
 
 Micros Schedule::intended(Micros recorded, unsigned loop, Micros length) const {
-    const double into = static_cast<double>(recorded - settings_.from) +
-                        static_cast<double>(loop) * static_cast<double>(length + settings_.loopGap);
-    return std::llround(into / settings_.speed);
+    const double offset = static_cast<double>(recorded - settings_.from) +
+                          static_cast<double>(loop) * static_cast<double>(length + settings_.loopGap);
+    return std::llround(offset / settings_.speed);
 }
 
 unsigned Schedule::copies(std::uint64_t chain, std::uint32_t classIndex) const {
--- a/src/decisions/attempts/schedule.h
+++ b/src/decisions/attempts/schedule.h
@@ -1,4 +1,4 @@
-// When a recorded entry is intended to be sent, and which clients take part.
+// When a replay sends a recorded entry, and which recorded chains take part.
 #pragma once
 
 #include <cstdint>
@@ -10,31 +10,34 @@
 namespace marldale::attempts {
 
 struct ScheduleSettings {
-    double speed = 1;                  // recorded seconds in one second
-    Micros from = 0;                   // of the record that the window begins with
-    Micros until = 0;                  // and ends before; 0: all
-    unsigned loops = 1;                // times that the window is played
-    Micros loopGap = 1000000;          // recorded time between two of them
-    std::vector<double> shareByClass;  // 0 and up; empty or short: 1
+    double speed = 1;          // recorded seconds that are replayed in one second
+    Micros from = 0;           // recorded time at which the window begins
+    Micros until = 0;          // and before which it ends; 0: the end of the recording
+    unsigned loops = 1;        // times that the window is replayed
+    Micros loopGap = 1000000;  // recorded time between two loops
+    std::vector<double>
+        shareByClass;  // how often a chain is replayed, 0 and up; 1 for classes beyond the end
     std::uint64_t seed = 1;
 };
 
+/// Maps recorded times to times of the replay, and decides how often each chain is replayed.
 class Schedule {
 public:
     explicit Schedule(ScheduleSettings settings);
 
     [[nodiscard]] bool inWindow(Micros recorded) const;
-    // Microseconds after the replay's start; `loop` counts from 0, `length` is the window's.
+    /// When an entry is due, in microseconds after the replay's start. `loop` counts from 0; `length` is that
+    /// of the window.
     [[nodiscard]] Micros intended(Micros recorded, unsigned loop, Micros length) const;
-    // How many copies of a chain go: for a share of 0.4 none or one, for 2.5 two or three. All of a chain's
-    // entries share its fate.
+    /// How many copies of a chain are replayed: with a share of 0.4 none or one, with 2.5 two or three. All
+    /// entries of a chain are treated alike.
     [[nodiscard]] unsigned copies(std::uint64_t chain, std::uint32_t classIndex) const;
 
 private:
     ScheduleSettings settings_;
 };
 
-// From 0 to below 1, the same for the same words.
-[[nodiscard]] double uniformDraw(std::uint64_t seed, std::uint64_t of);
+/// A pseudorandom number from 0 to below 1, always the same for the same seed and stream.
+[[nodiscard]] double uniformDraw(std::uint64_t seed, std::uint64_t stream);
 
 }  // namespace marldale::attempts
