--- a/src/decisions/membership/permissions.h
+++ b/src/decisions/membership/permissions.h
@@ -1,6 +1,6 @@
-// What an identity may speak for. The identity is a name out of a client's certificate; the settings say what
-// each name may do. Without certificates everybody may speak for everything: that is allowed on loopback, or
-// when said so.
+// What an identity is permitted to report and to hold. An identity is a name from a client's certificate, and
+// the settings define what each one may do. Without certificates everyone may do everything; this is allowed
+// on loopback, or where the settings say so.
 #pragma once
 
 #include <map>
@@ -14,12 +14,13 @@
 
 namespace marldale::membership {
 
+/// The permissions of one identity.
 struct Permissions {
     bool everything = false;
-    std::vector<std::string> zones;                   // it may report for, and hold relays of; `*`: all
-    std::vector<std::string> boxes;                   // it may report as; a trailing `*` stands for any end
-    std::vector<std::pair<ProxyId, ProxyId>> relays;  // it may hold, from and to
-    bool peer = false;                                // it is an instance of the planner
+    std::vector<std::string> zones;  // whose reports it may send and whose relays it may hold; `*`: all
+    std::vector<std::string> boxes;  // whose own reports it may send; a trailing `*` matches any suffix
+    std::vector<std::pair<ProxyId, ProxyId>> relays;  // ranges, both ends included, that it may hold
+    bool peer = false;                                // it is another instance of the planner
 
     [[nodiscard]] bool mayBePeer() const { return everything || peer; }
     [[nodiscard]] bool mayReport(std::string_view zone) const;
@@ -28,20 +29,21 @@
     bool operator==(const Permissions&) const = default;
 };
 
-// `7`, `0-49`; nothing if it is no such range.
+/// Parses a relay number or a range of them, as in `7` or `0-49`; nothing if the text is neither.
 [[nodiscard]] std::optional<std::pair<ProxyId, ProxyId>> parseRelayRange(std::string_view text);
 
-// By the names of identities. A certificate may carry several names: the first that is known counts.
+/// Permissions by the names of identities.
 class PermissionTable {
 public:
-    void add(const std::string& name, Permissions passport) { known_[name] = std::move(passport); }
+    void add(const std::string& name, Permissions permissions) { byName_[name] = std::move(permissions); }
+    /// The permissions of the first known name, for a certificate may carry several; null if none is known.
     [[nodiscard]] const Permissions* find(const std::vector<std::string>& names) const;
-    [[nodiscard]] bool empty() const { return known_.empty(); }
-    [[nodiscard]] std::map<std::string, Permissions>& all() { return known_; }
+    [[nodiscard]] bool empty() const { return byName_.empty(); }
+    [[nodiscard]] std::map<std::string, Permissions>& all() { return byName_; }
     bool operator==(const PermissionTable&) const = default;
 
 private:
-    std::map<std::string, Permissions> known_;
+    std::map<std::string, Permissions> byName_;
 };
 
 }  // namespace marldale::membership
--- a/src/decisions/membership/proxy_owners.cpp
+++ b/src/decisions/membership/proxy_owners.cpp
@@ -18,29 +18,30 @@
 std::vector<OwnershipEvent> ProxyOwners::hello(LaneId lane, ProxyId id, const ProxyAnnouncement& announcement,
                                                Micros now) {
     std::vector<OwnershipEvent> out;
-    const auto [at, fresh] = proxies_.try_emplace(id);
+    const auto [at, isNew] = proxies_.try_emplace(id);
     Proxy& proxy = at->second;
-    for (auto& [other, waiting] : proxy.elsewhere) waiting.later = false;
-    if (fresh || proxy.owner == lane) {
+    for (auto& [other, otherLane] : proxy.otherLanes) otherLane.isNewer = false;
+    if (isNew || proxy.owner == lane) {
         proxy.owner = lane;
         proxy.announcement = announcement;
-        if (fresh) proxy.since = now;
+        if (isNew) proxy.since = now;
         out.emplace_back(JoinedOnLane{id, lane, announcement});
         return out;
     }
-    proxy.elsewhere[lane] = {announcement, true};
-    if (now - proxy.since >= kMoveLeast) move(id, proxy, lane, now, out);
+    proxy.otherLanes[lane] = {announcement, true};
+    if (now - proxy.since >= kMinMoveInterval) move(id, proxy, lane, now, out);
     return out;
 }
 
 void ProxyOwners::move(ProxyId id, Proxy& proxy, LaneId to, Micros now, std::vector<OwnershipEvent>& out) {
     const LaneId from = proxy.owner;
-    const ProxyAnnouncement announcement = proxy.elsewhere.at(to).announcement;
-    proxy.elsewhere.erase(to);
-    // The platform can't be told, and says who stands only once: should the new lane end, the proxy is still
-    // there. A stream is told, and names the proxy again if it is.
+    const ProxyAnnouncement announcement = proxy.otherLanes.at(to).announcement;
+    proxy.otherLanes.erase(to);
+    // The platform can't be told of the move and announces a proxy only once, so its announcement is kept:
+    // the proxy returns there if the new lane ends. A stream is told, and announces the proxy again if it has
+    // it.
     if (from == kPlatformLane) {
-        proxy.elsewhere[from] = {proxy.announcement, false};
+        proxy.otherLanes[from] = {proxy.announcement, false};
     } else {
         out.emplace_back(Release{id, from});
     }
@@ -54,17 +55,17 @@
 void ProxyOwners::leave(Proxies::iterator at, LaneId lane, Micros now, std::vector<OwnershipEvent>& out) {
     Proxy& proxy = at->second;
     if (proxy.owner != lane) {
-        proxy.elsewhere.erase(lane);
+        proxy.otherLanes.erase(lane);
         return;
     }
-    if (proxy.elsewhere.empty()) {
+    if (proxy.otherLanes.empty()) {
         out.emplace_back(LeftAllLanes{at->first});
         proxies_.erase(at);
         return;
     }
-    const LaneId to = mover(proxy).value_or(proxy.elsewhere.begin()->first);
-    proxy.announcement = proxy.elsewhere.at(to).announcement;
-    proxy.elsewhere.erase(to);
+    const LaneId to = pendingMove(proxy).value_or(proxy.otherLanes.begin()->first);
+    proxy.announcement = proxy.otherLanes.at(to).announcement;
+    proxy.otherLanes.erase(to);
     proxy.owner = to;
     proxy.since = now;
     ++moves_;
@@ -90,18 +91,18 @@
     return {AcknowledgedOnLane{proxy, lane, mark, took}};
 }
 
-std::optional<LaneId> ProxyOwners::mover(const Proxy& proxy) {
-    const auto at = std::find_if(proxy.elsewhere.begin(), proxy.elsewhere.end(),
-                                 [](const auto& e) { return e.second.later; });
-    if (at == proxy.elsewhere.end()) return std::nullopt;
+std::optional<LaneId> ProxyOwners::pendingMove(const Proxy& proxy) {
+    const auto at = std::find_if(proxy.otherLanes.begin(), proxy.otherLanes.end(),
+                                 [](const auto& entry) { return entry.second.isNewer; });
+    if (at == proxy.otherLanes.end()) return std::nullopt;
     return at->first;
 }
 
 std::vector<OwnershipEvent> ProxyOwners::due(Micros now) {
     std::vector<OwnershipEvent> out;
     for (auto& [id, proxy] : proxies_) {
-        const auto to = mover(proxy);
-        if (to && now - proxy.since >= kMoveLeast) move(id, proxy, *to, now, out);
+        const auto to = pendingMove(proxy);
+        if (to && now - proxy.since >= kMinMoveInterval) move(id, proxy, *to, now, out);
     }
     return out;
 }
@@ -109,8 +110,8 @@
 std::optional<Micros> ProxyOwners::nextDue() const {
     std::optional<Micros> out;
     for (const auto& [id, proxy] : proxies_) {
-        if (!mover(proxy)) continue;
-        const Micros at = proxy.since + kMoveLeast;
+        if (!pendingMove(proxy)) continue;
+        const Micros at = proxy.since + kMinMoveInterval;
         if (!out || at < *out) out = at;
     }
     return out;
--- a/src/decisions/membership/report_ledger.cpp
+++ b/src/decisions/membership/report_ledger.cpp
@@ -5,38 +5,38 @@
 namespace marldale::membership {
 
 std::uint64_t ReportLedger::begin(const std::string& node, std::uint64_t incarnation, Micros now) {
-    std::erase_if(nodes_, [&](const auto& n) { return now - n.second.at > kForgetAfter; });
-    if (nodes_.size() >= kNodesMost && nodes_.count(node) == 0) {
+    std::erase_if(nodes_, [&](const auto& entry) { return now - entry.second.lastHeard > kForgetAfter; });
+    if (nodes_.size() >= kMaxNodes && nodes_.count(node) == 0) {
         nodes_.erase(std::min_element(nodes_.begin(), nodes_.end(), [](const auto& a, const auto& b) {
-            return a.second.at < b.second.at;
+            return a.second.lastHeard < b.second.lastHeard;
         }));
     }
-    Node& n = nodes_[node];
-    if (n.incarnation != incarnation) n = {incarnation, 0, now};
-    n.at = now;
-    return n.last;
+    Node& entry = nodes_[node];
+    if (entry.incarnation != incarnation) entry = {incarnation, 0, now};
+    entry.lastHeard = now;
+    return entry.lastTaken;
 }
 
 bool ReportLedger::take(const std::string& node, std::uint64_t sequence, Micros now) {
     const auto at = nodes_.find(node);
     if (at == nodes_.end()) return false;
-    at->second.at = now;
-    if (sequence <= at->second.last) {
+    at->second.lastHeard = now;
+    if (sequence <= at->second.lastTaken) {
         ++duplicates_;
         return false;
     }
-    at->second.last = sequence;
+    at->second.lastTaken = sequence;
     return true;
 }
 
-void ReportLedger::giveBack(const std::string& node, std::uint64_t sequence) {
+void ReportLedger::undoTake(const std::string& node, std::uint64_t sequence) {
     const auto at = nodes_.find(node);
-    if (at != nodes_.end() && at->second.last == sequence) at->second.last = sequence - 1;
+    if (at != nodes_.end() && at->second.lastTaken == sequence) at->second.lastTaken = sequence - 1;
 }
 
 std::uint64_t ReportLedger::taken(const std::string& node) const {
     const auto at = nodes_.find(node);
-    return at == nodes_.end() ? 0 : at->second.last;
+    return at == nodes_.end() ? 0 : at->second.lastTaken;
 }
 
 }  // namespace marldale::membership
--- a/src/decisions/membership/report_pacer.h
+++ b/src/decisions/membership/report_pacer.h
@@ -1,5 +1,5 @@
-// The interval that reporting streams are told, so that all of them together send no more rows than the
-// planner takes in. The idea is that of load reporting in xDS, where the server tells the interval. No I/O.
+// Computes the interval at which sources are told to report, so that together they send no more rows than the
+// planner can take in. As in xDS load reporting, the server sets the interval. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,34 +10,36 @@
 namespace marldale::membership {
 
 struct PacerRules {
-    Micros least = 2000000;  // the settings' interval; no stream is told a shorter one
+    Micros least = 2000000;  // the interval in the settings; never undercut
     Micros most = 20000000;
-    double rowsPerS = 0;  // what the planner takes in; 0: no limit
+    double rowsPerS = 0;  // that the planner can take in; 0: no limit
 };
 
+/// One interval for all reporting streams.
 class ReportPacer {
 public:
     explicit ReportPacer(PacerRules rules) : rules_(rules), interval_(rules.least) {}
 
-    // A source has sent a report of so many rows.
+    /// A source has sent a report of that many rows.
     void reported(SourceId source, std::size_t rows, Micros now);
     void ended(SourceId source) { sources_.erase(source); }
-    // The planner could not take a report in: for a while all are asked for half as many.
-    void overloaded(Micros now) { pressedUntil_ = now + kPressedFor; }
+    /// The planner could not take in a report: for a while the interval is at least twice the shortest one.
+    void overloaded(Micros now) { overloadedUntil_ = now + kOverloadHold; }
 
-    // What every stream is to be told now. It moves in steps, and not for changes that are small.
+    /// The interval that every stream is to be told now. It changes in steps, and not for small differences.
     [[nodiscard]] Micros interval(Micros now);
 
-    static constexpr Micros kPressedFor = 10000000;
+    /// How long an overload is remembered.
+    static constexpr Micros kOverloadHold = 10000000;
 
 private:
     struct Source {
         double rows = 0;  // of one report, smoothed
-        Micros at = 0;
+        Micros lastReport = 0;
     };
     PacerRules rules_;
     Micros interval_;
-    Micros pressedUntil_ = 0;
+    Micros overloadedUntil_ = 0;
     std::map<SourceId, Source> sources_;
 };
 
--- a/src/decisions/membership/source_arbiter.cpp
+++ b/src/decisions/membership/source_arbiter.cpp
@@ -6,10 +6,10 @@
 namespace marldale::membership {
 namespace {
 
-constexpr int kClaims = 2;                  // words of another source that prove a holder blind to a row
-constexpr std::size_t kSpoiltMost = 16;     // of a source's last 32 rows
+constexpr int kMinClaims = 2;               // reports by others that prove that a holder does not see a row
+constexpr std::size_t kMaxInvalid = 16;     // of a source's last 32 rows
 constexpr Micros kForgetAfter = 300000000;  // of silence
-constexpr std::size_t kNewsMost = 64;
+constexpr std::size_t kMaxChanges = 64;     // kept until they are taken
 
 std::uint32_t scaled(std::uint32_t count, double part) {
     return static_cast<std::uint32_t>(std::llround(count * part));
@@ -21,14 +21,14 @@
 }  // namespace
 
 void SourceArbiter::heard(SourceId source, Micros now) {
-    Source& s = sources_[source];
-    s.lastWord = now;
-    s.ended = false;
+    Source& entry = sources_[source];
+    entry.lastHeard = now;
+    entry.ended = false;
 }
 
 void SourceArbiter::rowRejected(SourceId source, Micros /*now*/) {
-    Source& s = sources_[source];
-    s.spoilt = s.spoilt << 1U | std::bitset<32>(1);
+    Source& entry = sources_[source];
+    entry.invalid = entry.invalid << 1U | std::bitset<32>(1);
 }
 
 void SourceArbiter::ended(SourceId source) {
@@ -37,37 +37,39 @@
 
 void SourceArbiter::noteChange(SourceId from, SourceId to, const char* why) {
     ++counts_.changes;
-    const auto same = [&](const Change& c) { return c.from == from && c.to == to && c.why == why; };
-    if (news_.size() < kNewsMost && std::none_of(news_.begin(), news_.end(), same)) {
-        news_.push_back({from, to, why});
+    const auto same = [&](const Change& change) {
+        return change.from == from && change.to == to && change.why == why;
+    };
+    if (changes_.size() < kMaxChanges && std::none_of(changes_.begin(), changes_.end(), same)) {
+        changes_.push_back({from, to, why});
     }
 }
 
-// Why the row's holder holds it no longer against a word with or without tries; null while it does.
-const char* SourceArbiter::whyFree(const Row& row, bool hasTries, Micros now) const {
+// Why another source may take over the row, with a report that has tries or has none; null if it may not.
+const char* SourceArbiter::whyReleased(const Row& row, bool hasTries, Micros now) const {
     const auto at = sources_.find(row.holder);
-    if (at == sources_.end()) return "it is forgotten";
+    if (at == sources_.end()) return "it is unknown";
     const Source& holder = at->second;
     if (holder.ended) return "it has ended";
-    if (now - holder.lastWord > rules_.silence()) return "it is silent";
-    if (holder.spoilt.count() > kSpoiltMost) return "its reports are spoilt";
-    const bool blind = now - row.lastWord > 2 * rules_.silence() && row.claims >= kClaims;
-    if (blind && hasTries) return "it does not name it";
+    if (now - holder.lastHeard > rules_.silence()) return "it is silent";
+    if (holder.invalid.count() > kMaxInvalid) return "its reports are invalid";
+    const bool unseen = now - row.lastReport > 2 * rules_.silence() && row.claims >= kMinClaims;
+    if (unseen && hasTries) return "it does not report the row";
     return nullptr;
 }
 
 double SourceArbiter::part(SourceId source, const Key& key, Micros span, bool hasTries, Micros now) {
     heard(source, now);
-    sources_[source].spoilt <<= 1U;
+    sources_[source].invalid <<= 1U;
     if (span <= 0) return 0;
-    const auto [at, fresh] = rows_.try_emplace(key);
+    const auto [at, isNew] = rows_.try_emplace(key);
     Row& row = at->second;
     Micros allowance = rules_.slack;
-    if (fresh) {
+    if (isNew) {
         row.holder = source;
-        row.told = now - span;
+        row.coveredUntil = now - span;
     } else if (row.holder != source) {
-        const char* why = whyFree(row, hasTries, now);
+        const char* why = whyReleased(row, hasTries, now);
         if (why == nullptr) {
             row.claims += hasTries ? 1 : 0;
             ++counts_.notHeld;
@@ -75,24 +77,24 @@
         }
         noteChange(row.holder, source, why);
         row.holder = source;
-        row.told = std::max(row.told, now - span);
+        row.coveredUntil = std::max(row.coveredUntil, now - span);
         allowance = 0;
     }
-    row.lastWord = now;
+    row.lastReport = now;
     row.claims = 0;
-    row.told = std::max(row.told, now - rules_.spanMost);
-    const Micros left = now + allowance - row.told;
+    row.coveredUntil = std::max(row.coveredUntil, now - rules_.maxSpan);
+    const Micros left = now + allowance - row.coveredUntil;
     if (span <= left) {
-        row.told += span;
+        row.coveredUntil += span;
         ++counts_.taken;
         return 1;
     }
     const double share = static_cast<double>(left) / static_cast<double>(span);
-    if (share < rules_.leastPart) {
+    if (share < rules_.minPart) {
         ++counts_.covered;
         return 0;
     }
-    row.told = now + allowance;
+    row.coveredUntil = now + allowance;
     ++counts_.taken;
     ++counts_.cut;
     return share;
@@ -106,7 +108,8 @@
     ServerSums out = row;
     out.tries = scaled(row.tries, share);
     out.failed = std::min(out.tries, scaled(row.failed, share));
-    if (row.failed < row.tries && out.failed == out.tries && out.tries > 0) --out.failed;  // there is a mean
+    if (row.failed < row.tries && out.failed == out.tries && out.tries > 0)
+        --out.failed;  // meanTime is that of successes, so one must remain
     out.period = scaled(row.period, share);
     return out;
 }
@@ -124,8 +127,8 @@
 }
 
 void SourceArbiter::sweep(Micros now) {
-    std::erase_if(rows_, [&](const auto& r) { return now - r.second.lastWord > kForgetAfter; });
-    std::erase_if(sources_, [&](const auto& s) { return now - s.second.lastWord > kForgetAfter; });
+    std::erase_if(rows_, [&](const auto& entry) { return now - entry.second.lastReport > kForgetAfter; });
+    std::erase_if(sources_, [&](const auto& entry) { return now - entry.second.lastHeard > kForgetAfter; });
 }
 
 }  // namespace marldale::membership
