--- a/src/decisions/attempts/outcome.cpp
+++ b/src/decisions/attempts/outcome.cpp
@@ -26,7 +26,7 @@
 const char* name(Ended ended) {
     switch (ended) {
         case Ended::answered: return "answered";
-        case Ended::notRecorded: return "not recorded";
+        case Ended::notRecorded: return "not told";
         case Ended::aborted: return "aborted";
         case Ended::timedOut: return "timed out";
         case Ended::cut: return "cut off";
--- a/src/gateway/controller/calls_operator.cpp
+++ b/src/gateway/controller/calls_operator.cpp
@@ -18,7 +18,7 @@
     std::uint64_t builtOn = 0;
     if (!request.builtOn.empty() &&
         (!absl::SimpleAtoi(request.builtOn, &builtOn) || builtOn != read->builtOn)) {
-        return sendReply(problemReply(412, "X-Built-On and built_on name different versions"));
+        return sendReply(problemReply(412, "X-Built-On names another version than built_on"));
     }
     controller.change(configuration::replaceChange(request.body),
                       absl::StrCat("version ", read->version, " on ", read->builtOn), std::move(sendReply));
--- a/src/gateway/controller/calls_servers.cpp
+++ b/src/gateway/controller/calls_servers.cpp
@@ -31,12 +31,12 @@
     }();
     rapidjson::Document json;
     json.Parse(request.body.data(), request.body.size());
-    if (json.HasParseError()) return sendReply(problemReply(400, "the body is not valid JSON"));
+    if (json.HasParseError()) return sendReply(problemReply(400, "no JSON"));
     rapidjson::SchemaValidator validator(schema);
     if (!json.Accept(validator)) {
         rapidjson::StringBuffer pointer;
         validator.GetInvalidDocumentPointer().StringifyUriFragment(pointer);
-        return sendReply(problemReply(400, std::string(pointer.GetString()) + " violates the schema rule '" +
+        return sendReply(problemReply(400, std::string(pointer.GetString()) + " breaks the rule '" +
                                                validator.GetInvalidSchemaKeyword() + "'"));
     }
     proto::Server server;
--- a/src/gateway/controller/control_server.cpp
+++ b/src/gateway/controller/control_server.cpp
@@ -42,7 +42,7 @@
         http::async_read(stream_, buffer_, *parser_,
                          [self = shared_from_this()](beast::error_code error, std::size_t) {
                              if (error == http::error::body_limit)
-                                 return self->sendReply(problemReply(413, "the body is too large"), false);
+                                 return self->sendReply(problemReply(413, "too large"), false);
                              if (error) return self->close();
                              self->handle();
                          });
--- a/src/gateway/controller/controller.cpp
+++ b/src/gateway/controller/controller.cpp
@@ -71,22 +71,21 @@
           return registrySettings;
       }()),
       steering_(zoneNames(settings_), settings_.zone, incarnation_),
-      control_(io, settings_.control,
-               [this](Request request, ReplyCallback sendReply) {
-                   const CallMatch found = findCall(request.method, request.target);
-                   if (found.call == nullptr)
-                       return sendReply(problemReply(
-                           found.pathExists ? 405 : 404,
-                           found.pathExists ? "the call does not allow this method" : "no such call"));
-                   request.argument = found.argument;
-                   const std::string target = request.target;
-                   found.call->handle(*this, request,
-                                      [sendReply = std::move(sendReply), target](Reply reply) {
-                                          if (!reply.location.empty()) reply.location += target;
-                                          sendReply(std::move(reply));
-                                      });
-                   processPending();
-               }),
+      control_(
+          io, settings_.control,
+          [this](Request request, ReplyCallback sendReply) {
+              const CallMatch found = findCall(request.method, request.target);
+              if (found.call == nullptr)
+                  return sendReply(problemReply(found.pathExists ? 405 : 404,
+                                                found.pathExists ? "not by this method" : "no such call"));
+              request.argument = found.argument;
+              const std::string target = request.target;
+              found.call->handle(*this, request, [sendReply = std::move(sendReply), target](Reply reply) {
+                  if (!reply.location.empty()) reply.location += target;
+                  sendReply(std::move(reply));
+              });
+              processPending();
+          }),
       insideAcceptor_(io),
       timer_(io),
       distributionLoop_(*this, settings_.bounds.apply),
--- a/src/gateway/controller/order_queue.cpp
+++ b/src/gateway/controller/order_queue.cpp
@@ -38,10 +38,10 @@
         case UnavailableReason::noQuorumContact: return "no contact with a majority of the controllers";
         case UnavailableReason::noLeader: return "no leader is known";
         case UnavailableReason::leadershipLost: return "the leader has changed";
-        case UnavailableReason::logRefused: return "the log accepts no entries now";
+        case UnavailableReason::logRefused: return "the log takes no entries now";
         case UnavailableReason::timedOut: return "not committed in time";
         case UnavailableReason::undecided: return "the order's record has been dropped";
-        case UnavailableReason::stopping: return "this controller is shutting down";
+        case UnavailableReason::stopping: return "this controller stops";
     }
     return "";
 }
--- a/src/gateway/controller/orders.cpp
+++ b/src/gateway/controller/orders.cpp
@@ -14,7 +14,7 @@
         case OrderOutcome::rejectedStale: return "another version is current";
         case OrderOutcome::invalid: return "the version is not above the current one";
         case OrderOutcome::readConfirmed: return "read";
-        case OrderOutcome::redirect: return "another controller leads";
+        case OrderOutcome::redirect: return "another one leads";
         case OrderOutcome::unavailable: return "unavailable";
     }
     return "";
