--- a/tests/gateway/raft_store_test.cpp
+++ b/tests/gateway/raft_store_test.cpp
@@ -392,7 +392,7 @@
     const auto leader = [&]() -> Machine& {
         for (auto& [name, machine] : machines)
             if (machine.replica->leads()) return machine;
-        FAIL("nobody leads");
+        FAIL("no leader");
         return machines.begin()->second;
     };
     start();
