--- a/tests/attempts/attempts_test.cpp
+++ b/tests/attempts/attempts_test.cpp
@@ -154,8 +154,8 @@
     }
 };
 
-// A replayer that journals before it sends. It is killed once it has written `writableBytes`, possibly within a
-// record.
+// A replayer that journals before it sends. It is killed once it has written `writableBytes`, possibly within
+// a record.
 class Replayer {
 public:
     Replayer(std::string& disk, std::size_t writableBytes, Box& box, EffectLedger::Settings settings)
