--- a/bench/gateway/packages.cpp
+++ b/bench/gateway/packages.cpp
@@ -235,7 +235,7 @@
         const auto size = static_cast<double>(n);
         const double before = heapBytes();
         registry::Registry registry{registry::Settings{}};
-        for (std::size_t k = 0; k < n; ++k) (void)registry.heard(kSecond, serverWord(k, servicesOf(n)));
+        for (std::size_t k = 0; k < n; ++k) (void)registry.applyReport(kSecond, serverWord(k, servicesOf(n)));
         memory.push_back({size, heapBytes() - before});
         if (registry.servers().size() != n) throw std::runtime_error("the registry did not take all servers");
         std::vector<std::string> told;  // as another controller passes them on
@@ -254,12 +254,12 @@
                                    if (!words.ParseFromString(told[round++]))
                                        throw std::runtime_error("news could not be read");
                                    for (const proto::Server& word : words.servers())
-                                       (void)registry.heard(kSecond, word);
+                                       (void)registry.applyReport(kSecond, word);
                                })});
         ticks.push_back({size, 1e6 * leastOf(5, [&] { (void)registry.tick(kSecond + 100); })});
         proto::ServerUpdates news;
         for (const auto& [id, server] : registry.servers())
-            *news.add_servers() = registry.wordOf(server, kSecond);
+            *news.add_servers() = registry.reportOf(server, kSecond);
         bytes.push_back({size, static_cast<double>(news.ByteSizeLong())});
     }
     add(out, "controller: memory of the registry", "servers", "B", memory);
@@ -333,7 +333,7 @@
                 demand->set_service(serviceName(k));
                 demand->set_came(10);
             }
-            steering.sums(static_cast<distribution::ProxyId>(s + 1), zoneName(s), sums);
+            steering.recordLoad(static_cast<distribution::ProxyId>(s + 1), zoneName(s), sums);
         }
     };
     out.sums = out.sumsTurn = 1e99;
@@ -422,10 +422,10 @@
                     told += static_cast<double>(letter->shuffle.ByteSizeLong());
                     const auto at = views.find(letter->to);
                     if (at == views.end()) continue;
-                    const auto answer = at->second->heard(letter->shuffle);
+                    const auto answer = at->second->receive(letter->shuffle);
                     if (!answer) continue;
                     told += static_cast<double>(answer->shuffle.ByteSizeLong());
-                    (void)view->heard(answer->shuffle);
+                    (void)view->receive(answer->shuffle);
                 }
             }
         };
--- a/src/gateway/controller/controller.cpp
+++ b/src/gateway/controller/controller.cpp
@@ -63,7 +63,8 @@
           selfPeer(settings_, incarnation_), settings_.insideSeeds()),
       datagrams_(io, settings_.inside(),
                  [this](const proto::Shuffle& shuffle) {
-                     if (auto message = view_.heard(shuffle)) datagrams_.send(message->to, message->shuffle);
+                     if (auto message = view_.receive(shuffle))
+                         datagrams_.send(message->to, message->shuffle);
                  }),
       registry_([&] {
           registry::Settings registrySettings;
--- a/src/gateway/controller/departures.cpp
+++ b/src/gateway/controller/departures.cpp
@@ -29,7 +29,7 @@
     const auto text = DiskWriter::readFile(settings_.dataFolder + "/departures");
     proto::ServerUpdates departures;
     if (!text || !departures.ParseFromString(*text)) return;
-    for (const proto::Server& departed : departures.servers()) registry_.heard(now, departed);
+    for (const proto::Server& departed : departures.servers()) registry_.applyReport(now, departed);
     log::info("departures_recalled", {{"servers", registry_.departed().size()}});
 }
 
@@ -38,7 +38,7 @@
     proto::ServerUpdates departures;
     for (proto::Server& departed : registry_.departures(now)) *departures.add_servers() = std::move(departed);
     for (const auto& [id, server] : registry_.servers()) {
-        if (!server.said.emptying()) continue;
+        if (!server.report.emptying()) continue;
         departures.add_servers()->set_id(id);
         departures.mutable_servers()->rbegin()->set_gone(true);
     }
--- a/src/gateway/controller/desired_resources.cpp
+++ b/src/gateway/controller/desired_resources.cpp
@@ -27,7 +27,7 @@
     budget.set_per_s(share.perS);
     budget.set_burst(share.burst);
     const configuration::Configuration& configuration = configurations_.configuration();
-    const auto changed = configurationResources_.follow(
+    const auto changed = configurationResources_.update(
         {configuration, configurations_.emptied(), budget, configurations_.index() > 0});
     if (changed.serviceNames) steering_.services(distribution::serviceSpecsOf(configuration));
     // The resource of a server contains shares of the limits of its service, divided by the number of proxies
@@ -58,14 +58,14 @@
             putAbsentServer(id);
             continue;
         }
-        const auto service = services.find(server->second.said.service());
+        const auto service = services.find(server->second.report.service());
         putServer(server->second, service == services.end() ? nullptr : service->second, now);
     }
     moduleListChanged_ = true;
 }
 
 void Controller::addAllServerIds(std::set<std::string>& ids) const {
-    for (const auto& [key, resource] : distributor_.wanted()) {
+    for (const auto& [key, resource] : distributor_.desired()) {
         if (key[0] == 'v' || key[0] == 'x') ids.insert(key.substr(2));
     }
     for (const auto& [id, server] : registry_.servers()) ids.insert(id);
@@ -91,8 +91,8 @@
     std::vector<distribution::ServerSpec> serverSpecs;
     serverSpecs.reserve(registry_.servers().size());
     for (const auto& [id, server] : registry_.servers()) {
-        serverSpecs.push_back({id, server.said.service(), server.said.zone(), server.said.free_places(),
-                               server.said.emptying(), registry_.coldLeft(server, now)});
+        serverSpecs.push_back({id, server.report.service(), server.report.zone(), server.report.free_places(),
+                               server.report.emptying(), registry_.coldLeft(server, now)});
     }
     steering_.servers(now, serverSpecs);
 }
@@ -100,16 +100,16 @@
 // Drops a server by name, also at proxies that may hold it from another controller.
 void Controller::putServerDrop(const std::string& id) {
     const std::string key = "x " + id;
-    if (distributor_.wanted().count(key) != 0) return;
+    if (distributor_.desired().count(key) != 0) return;
     proto::Resource resource;
     resource.set_server_drop(id);
-    distributor_.put(key, distribution::wantedOf(std::move(resource), true));
+    distributor_.put(key, distribution::desiredResourceOf(std::move(resource), true));
 }
 
 // A server without a configured service is not distributed.
 void Controller::putServer(const registry::Server& server, const proto::ServiceResource* service,
                            Micros now) {
-    const std::string& id = server.said.id();
+    const std::string& id = server.report.id();
     const std::string key = "v " + id;
     proto::Resource resource;
     if (!server.usable() || service == nullptr) {
@@ -120,18 +120,18 @@
     distributor_.remove("x " + id);
     auto* serverResource = resource.mutable_server();
     serverResource->set_id(id);
-    serverResource->set_service(server.said.service());
-    serverResource->set_address(server.said.address());
-    serverResource->set_zone(server.said.zone());
+    serverResource->set_service(server.report.service());
+    serverResource->set_address(server.report.address());
+    serverResource->set_zone(server.report.zone());
     const ProxyShare share =
-        proxyShareOf({recentMaxProxies_, server.said.free_places(), service->max_connections(),
+        proxyShareOf({recentMaxProxies_, server.report.free_places(), service->max_connections(),
                       service->cold_per_s(), settings_.bounds.coldExcess, settings_.bounds.coldMargin});
     serverResource->set_in_flight_most(share.inFlight);
     serverResource->set_connections_most(share.connections);
     serverResource->set_cold_most(share.cold);
     const bool cold = registry_.coldLeft(server, now) > 0;
     const auto seed = static_cast<std::uint64_t>(cold ? server.coldUntil / 100000 : 0);
-    distributor_.put(key, distribution::wantedOf(std::move(resource), cold, seed));
+    distributor_.put(key, distribution::desiredResourceOf(std::move(resource), cold, seed));
 }
 
 // Distribution runs after whatever the event loop has ready: Raft messages, heartbeats, acknowledgements and
@@ -179,7 +179,7 @@
         resourceBatch->set_mark(resourceMark(batch.mark));
         resourceBatch->set_fresh(batch.fresh);
         resourceBatch->set_servers_whole(batch.fresh && knowsAllServers(now));
-        if (batch.whole) resourceBatch->set_index(configurations_.index());
+        if (batch.complete) resourceBatch->set_index(configurations_.index());
         for (proto::Resource& resource : batch.lines) *resourceBatch->add_resources() = std::move(resource);
         const auto bytes = std::make_shared<const std::string>(frame.SerializeAsString());
         for (const distribution::ProxyId proxy : batch.proxies) {
--- a/src/gateway/controller/orders.cpp
+++ b/src/gateway/controller/orders.cpp
@@ -82,7 +82,7 @@
         for (const proto::ServiceResource& service : configurations_.configuration().services)
             warmUp[service.name()] = service.warm_up();
         for (const std::string& zone : before) {
-            if (!configurations_.emptied().count(zone)) registry_.chilled(now, zone, warmUp);
+            if (!configurations_.emptied().count(zone)) registry_.markZoneCold(now, zone, warmUp);
         }
         onConfigurationChanged(now);
         log::info("change_in_force",
--- a/src/gateway/controller/peer_links.cpp
+++ b/src/gateway/controller/peer_links.cpp
@@ -147,7 +147,7 @@
     switch (frame.what_case()) {
         case proto::Frame::kGreeting:
             peerAddresses_[link.get()] = frame.greeting().address();
-            view_.met(frame.greeting());
+            view_.recordContact(frame.greeting());
             dialPeers(now);
             break;
         case proto::Frame::kRaft: replica_->receive(now, frame.raft()); break;
--- a/src/gateway/controller/proxies.cpp
+++ b/src/gateway/controller/proxies.cpp
@@ -32,7 +32,7 @@
     proxy.configurationIndex = hello.index();
     proxy.echo.received(now, hello.mark());
     proxyByLink_[link.get()] = id;
-    view_.met(hello.self());
+    view_.recordContact(hello.self());
     if (hello.edge_proxies() > recentMaxProxies_) {
         recentMaxProxies_ = hello.edge_proxies();
         recentMaxProxiesAt_ = now;
@@ -116,12 +116,12 @@
     const auto id = proxyByLink_.find(link);
     if (id == proxyByLink_.end()) return;
     for (const proto::ServerLoad& load : report.servers()) {
-        if (load.tries() > load.failed()) registry_.alive(now, load.server());
+        if (load.tries() > load.failed()) registry_.recordAnswer(now, load.server());
     }
     for (const std::string& gone : report.voided()) {
-        if (registry_.voided(now, gone)) onRegistryChanged(now);
+        if (registry_.removeReplaced(now, gone)) onRegistryChanged(now);
     }
-    steering_.sums(id->second, proxies_.at(id->second).peer.zone(), report);
+    steering_.recordLoad(id->second, proxies_.at(id->second).peer.zone(), report);
 }
 
 }  // namespace marldale::controller
--- a/src/gateway/controller/server_updates.cpp
+++ b/src/gateway/controller/server_updates.cpp
@@ -45,7 +45,7 @@
     for (const std::string& id : ids) {
         const auto found = registry_.servers().find(id);
         if (found != registry_.servers().end()) {
-            *updates->add_servers() = registry_.wordOf(found->second, now);
+            *updates->add_servers() = registry_.reportOf(found->second, now);
         } else if (!all && registry_.departed().count(id) != 0) {
             *updates->add_servers() = registry_.departure(id, now);
         }
@@ -73,10 +73,10 @@
     for (const proto::Server& update : updates.servers()) {
         ids.push_back(update.id());
         const proto::Server server = agedUpdate(update, delay);
-        const auto effect = registry_.heard(now, server);
-        changed = changed || effect == registry::Registry::News::changed ||
-                  effect == registry::Registry::News::urgent;
-        if (effect != registry::Registry::News::urgent) continue;
+        const auto effect = registry_.applyReport(now, server);
+        changed = changed || effect == registry::Registry::ReportEffect::changed ||
+                  effect == registry::Registry::ReportEffect::urgent;
+        if (effect != registry::Registry::ReportEffect::urgent) continue;
         recordDeparture(server.id());
         // Passed on once, with the next updates, because the controller that heard it first may fail before
         // it has told all others.
@@ -108,18 +108,20 @@
     if (!text || text->size() < kBootIdSize || !updates.ParseFromString(text->substr(kBootIdSize))) return;
     const bool sameBoot = text->compare(0, kBootIdSize, boot) == 0;
     const Micros age = sameBoot ? now - static_cast<Micros>(updates.number()) : kUnknownAge;
-    for (const proto::Server& server : updates.servers()) registry_.hint(now, server, age);
+    for (const proto::Server& server : updates.servers()) registry_.restore(now, server, age);
     log::info("servers_recalled", {{"servers", registry_.servers().size()}, {"same_boot", sameBoot}});
 }
 
 void Controller::beat(proto::Server server, ReplyCallback sendReply) {
     const Micros now = steadyNow();
-    const auto effect = registry_.heard(now, server);
-    if (effect != registry::Registry::News::old) updatesDue_.insert(server.id());
-    if (effect == registry::Registry::News::changed || effect == registry::Registry::News::urgent)
+    const auto effect = registry_.applyReport(now, server);
+    if (effect != registry::Registry::ReportEffect::none) updatesDue_.insert(server.id());
+    if (effect == registry::Registry::ReportEffect::changed ||
+        effect == registry::Registry::ReportEffect::urgent)
         onRegistryChanged(now);
-    if (effect == registry::Registry::News::urgent) recordDeparture(server.id());
-    const bool leaves = effect == registry::Registry::News::urgent || server.emptying() || server.gone();
+    if (effect == registry::Registry::ReportEffect::urgent) recordDeparture(server.id());
+    const bool leaves =
+        effect == registry::Registry::ReportEffect::urgent || server.emptying() || server.gone();
     if (!leaves) return sendReply({});
     acknowledgeDeparture(server.id(), std::move(sendReply), now);
 }
@@ -127,7 +129,7 @@
 void Controller::leave(const std::string& id, ReplyCallback sendReply) {
     proto::Server server;
     const auto found = registry_.servers().find(id);
-    if (found != registry_.servers().end()) server = found->second.said;
+    if (found != registry_.servers().end()) server = found->second.report;
     server.set_id(id);
     server.set_gone(true);
     beat(std::move(server), std::move(sendReply));
--- a/src/gateway/controller/status.cpp
+++ b/src/gateway/controller/status.cpp
@@ -87,13 +87,13 @@
         json.Key("id");
         writeString(json, id);
         json.Key("service");
-        writeString(json, server.said.service());
+        writeString(json, server.report.service());
         json.Key("address");
-        writeString(json, server.said.address());
+        writeString(json, server.report.address());
         json.Key("zone");
-        writeString(json, server.said.zone());
+        writeString(json, server.report.zone());
         json.Key("emptying");
-        json.Bool(server.said.emptying());
+        json.Bool(server.report.emptying());
         json.Key("heard_ago_us");
         json.Int64(now - server.heardAt);
         json.Key("cold_left_us");
--- a/src/gateway/distribution/configuration_resources.cpp
+++ b/src/gateway/distribution/configuration_resources.cpp
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-Wanted wantedOf(proto::Resource resource, bool urgent, std::uint64_t seed) {
+DesiredResource desiredResourceOf(proto::Resource resource, bool urgent, std::uint64_t seed) {
     const std::string text = resource.SerializeAsString();
-    Wanted wanted;
+    DesiredResource wanted;
     wanted.hash = XXH3_64bits_withSeed(text.data(), text.size(), seed) | 1U;
     wanted.line = std::move(resource);
     wanted.urgent = urgent;
@@ -60,13 +60,13 @@
     for (const proto::ServiceResource* service : put) {
         proto::Resource resource;
         *resource.mutable_service() = *service;
-        distributor_.put(serviceKey(service->name()), wantedOf(std::move(resource), false));
+        distributor_.put(serviceKey(service->name()), desiredResourceOf(std::move(resource), false));
     }
     const auto putBudget = [&](const std::string& service) {
         proto::Resource resource;
         *resource.mutable_budget() = source.budget;
         resource.mutable_budget()->set_service(service);
-        distributor_.put(budgetKey(service), wantedOf(std::move(resource), false));
+        distributor_.put(budgetKey(service), desiredResourceOf(std::move(resource), false));
     };
     if (budgetChanged) {
         for (const proto::ServiceResource& service : source.configuration.services) putBudget(service.name());
@@ -81,7 +81,7 @@
         if (emptied_.count(zone) != 0) continue;
         proto::Resource resource;
         resource.set_zone_empty(zone);
-        distributor_.put(zoneKey(zone), wantedOf(std::move(resource), true));
+        distributor_.put(zoneKey(zone), desiredResourceOf(std::move(resource), true));
     }
     for (const std::string& zone : emptied_) {
         if (emptied.count(zone) == 0) distributor_.remove(zoneKey(zone));
@@ -90,7 +90,7 @@
     return true;
 }
 
-ConfigurationResources::Changed ConfigurationResources::follow(const Source& source) {
+ConfigurationResources::Changed ConfigurationResources::update(const Source& source) {
     const auto difference = configuration::differenceOf(followed_, source.configuration);
     Changed changed;
     changed.serviceNames = difference.servicesNamedAnew;
@@ -104,13 +104,13 @@
     for (const proto::RouteResource* route : difference.routesPut) {
         proto::Resource resource;
         *resource.mutable_route() = *route;
-        distributor_.put(routeKey(*route), wantedOf(std::move(resource), false));
+        distributor_.put(routeKey(*route), desiredResourceOf(std::move(resource), false));
     }
     for (const proto::RouteResource* route : difference.routesRemoved) distributor_.remove(routeKey(*route));
     if (source.anyChange && (difference.limitsChanged || !limitsPut_)) {
         proto::Resource resource;
         *resource.mutable_limits() = source.configuration.limits;
-        distributor_.put(kLimitsKey, wantedOf(std::move(resource), false));
+        distributor_.put(kLimitsKey, desiredResourceOf(std::move(resource), false));
         limitsPut_ = true;
     }
     changed.emptiedZones = followZones(source.emptiedZones);
--- a/src/gateway/distribution/configuration_resources.h
+++ b/src/gateway/distribution/configuration_resources.h
@@ -13,7 +13,8 @@
 namespace marldale::distribution {
 
 /// A resource with the hash of what it says.
-[[nodiscard]] Wanted wantedOf(proto::Resource resource, bool urgent, std::uint64_t seed = 0);
+[[nodiscard]] DesiredResource desiredResourceOf(proto::Resource resource, bool urgent,
+                                                std::uint64_t seed = 0);
 
 /// What the decision modules are to know of each service.
 [[nodiscard]] std::vector<ServiceSpec> serviceSpecsOf(const configuration::Configuration& configuration);
@@ -35,7 +36,7 @@
         bool budget = false;
     };
     /// Puts and removes what differs from the source of the last call.
-    Changed follow(const Source& source);
+    Changed update(const Source& source);
 
 private:
     void followServices(const Source& source, bool budgetChanged,
--- a/src/gateway/distribution/resource_distributor.cpp
+++ b/src/gateway/distribution/resource_distributor.cpp
@@ -18,7 +18,7 @@
     return out;
 }
 
-void append(std::vector<proto::Resource>& lines, const std::string& key, const Wanted* wanted) {
+void append(std::vector<proto::Resource>& lines, const std::string& key, const DesiredResource* wanted) {
     if (wanted != nullptr) {
         lines.push_back(wanted->line);
         return;
@@ -32,14 +32,15 @@
 // ---- The port ----
 
 double ResourceDistributor::Port::priority(const std::string& /*zone*/, const std::string& key,
-                                           const Wanted* now, Hash /*held*/) const {
+                                           const DesiredResource* now, Hash /*held*/) const {
     // Servers that go and zones that are emptied or filled do not wait for the slowest proxy.
     const bool urgent = now != nullptr ? now->urgent : key[0] == 'v' || key[0] == 'z';
     if (urgent) return policy::kUrgentPriority;
     return key[0] == 'v' ? 0 : 1;  // the zones' words before their servers'
 }
 
-void ResourceDistributor::Port::line(TableId table, const std::string& key, const Wanted* now) const {
+void ResourceDistributor::Port::line(TableId table, const std::string& key,
+                                     const DesiredResource* now) const {
     const auto& bound = distributor.tables_.tables.at(table).bound;
     if (bound.empty()) return;
     auto part = distributor.pushParts_.find(table);
@@ -77,7 +78,7 @@
     if (position == distributor.journal_.last()) return;
     std::vector<Change> changes;
     std::vector<std::string> removed;
-    const auto add = [&](const std::string& key, const Wanted* wanted) {
+    const auto add = [&](const std::string& key, const DesiredResource* wanted) {
         const Hash held = table.held(key);
         const Hash now = wanted == nullptr ? 0 : wanted->hash;
         if (held != now) changes.push_back({port.priority(table.scope, key, wanted, held), key, wanted});
@@ -125,8 +126,8 @@
 
 // ---- The distributor ----
 
-bool ResourceDistributor::put(const std::string& key, Wanted wanted) {
-    Wanted& present = wanted_[key];
+bool ResourceDistributor::put(const std::string& key, DesiredResource wanted) {
+    DesiredResource& present = wanted_[key];
     const bool differs = present.hash != wanted.hash;
     present = std::move(wanted);
     if (differs) journal_.record(key);
--- a/src/gateway/distribution/resource_distributor.h
+++ b/src/gateway/distribution/resource_distributor.h
@@ -22,7 +22,7 @@
 using ProxyId = ProxyId;
 
 /// A resource that every proxy should hold.
-struct Wanted {
+struct DesiredResource {
     Hash hash = 0;  // never 0
     proto::Resource line;
     bool urgent = false;  // it skips the wait
@@ -37,10 +37,10 @@
     /// Everyone should hold this from now on. Keys: "r host path" routes, "s name" services, "b name"
     /// budgets, "l" limits, "z zone" emptied zones, "v id" servers, "x id" servers that nobody may hold. Says
     /// whether it differs from what was wanted before.
-    bool put(const std::string& key, Wanted wanted);
+    bool put(const std::string& key, DesiredResource wanted);
     /// Nobody should hold this any more.
     void remove(const std::string& key);
-    [[nodiscard]] const std::map<std::string, Wanted>& wanted() const { return wanted_; }
+    [[nodiscard]] const std::map<std::string, DesiredResource>& desired() const { return wanted_; }
 
     /// The proxy gets all that is wanted, in the next turn, whatever it was sent before.
     void join(ProxyId proxy, const std::string& zone);
@@ -51,8 +51,8 @@
     /// What goes out once, the same to several proxies.
     struct Batch {
         std::uint64_t mark = 0;
-        bool fresh = false;  // all that is wanted
-        bool whole = false;  // after it the proxies hold all that is wanted
+        bool fresh = false;     // all that is wanted
+        bool complete = false;  // after it the proxies hold all that is wanted
         std::vector<proto::Resource> lines;
         std::vector<ProxyId> proxies;
     };
@@ -70,12 +70,12 @@
 private:
     struct Port {
         ResourceDistributor& distributor;
-        const std::map<std::string, Wanted>& wanted(const std::string& /*zone*/) const {
+        const std::map<std::string, DesiredResource>& wanted(const std::string& /*zone*/) const {
             return distributor.wanted_;
         }
-        static Hash hash(const Wanted& line) { return line.hash; }
-        [[nodiscard]] double priority(const std::string& zone, const std::string& key, const Wanted* now,
-                                      Hash held) const;
+        static Hash hash(const DesiredResource& line) { return line.hash; }
+        [[nodiscard]] double priority(const std::string& zone, const std::string& key,
+                                      const DesiredResource* now, Hash held) const;
         static std::size_t slot(const std::string& /*zone*/) { return 0; }
         static double lineBudget(std::size_t /*proxies*/, bool /*urgent*/) {
             return 1e9;
@@ -84,12 +84,12 @@
             return true;
         }
         static bool mayCopy(const std::set<ProxyId>& /*proxies*/) { return true; }
-        void line(TableId table, const std::string& key, const Wanted* now) const;
+        void line(TableId table, const std::string& key, const DesiredResource* now) const;
         static void drop(TableId /*table*/) {}
         void bind(ProxyId proxy, TableId table) const;
         void wrote(ProxyId proxy, double lines) const;
     };
-    using FullComparison = policy::Distribution<std::string, Wanted, std::string, ProxyId, Port>;
+    using FullComparison = policy::Distribution<std::string, DesiredResource, std::string, ProxyId, Port>;
     // The module's distribution, but for pushes to a table whose position in the journal is known: these
     // look at what has changed since and at nothing else.
     struct Tables : FullComparison {
@@ -108,7 +108,7 @@
                                                           const Tables::Table& to) const;
     [[nodiscard]] std::vector<Batch> batches();
 
-    std::map<std::string, Wanted> wanted_;
+    std::map<std::string, DesiredResource> wanted_;
     ChangeJournal<std::string> journal_;
     Port port_{*this};
     Tables tables_{port_, kTimeout, kFold};
--- a/src/gateway/distribution/steering.cpp
+++ b/src/gateway/distribution/steering.cpp
@@ -141,7 +141,7 @@
     }
 }
 
-void Steering::sums(ProxyId proxy, const std::string& zone, const proto::LoadReport& sums) {
+void Steering::recordLoad(ProxyId proxy, const std::string& zone, const proto::LoadReport& sums) {
     for (const auto& sum : sums.servers()) {
         for (auto& [name, service] : services_) {
             const auto id = service.ids.find(sum.server());
--- a/src/gateway/distribution/steering.h
+++ b/src/gateway/distribution/steering.h
@@ -44,7 +44,7 @@
     void servers(Micros now, const std::vector<ServerSpec>& servers);
     void join(ProxyId proxy, const std::string& zone, double usualRate);
     void leave(ProxyId proxy);
-    void sums(ProxyId proxy, const std::string& zone, const proto::LoadReport& sums);
+    void recordLoad(ProxyId proxy, const std::string& zone, const proto::LoadReport& sums);
     void answered(ProxyId proxy, std::uint64_t mark, Micros took);
 
     struct Batch {
--- a/src/gateway/edge_proxy/binding.cpp
+++ b/src/gateway/edge_proxy/binding.cpp
@@ -43,7 +43,7 @@
       self_(peerOf(settings, incarnation_)),
       datagrams_(io, settings.inside(),
                  [this](const proto::Shuffle& shuffle) {
-                     if (auto letter = view_.heard(shuffle)) datagrams_.send(letter->to, letter->shuffle);
+                     if (auto letter = view_.receive(shuffle)) datagrams_.send(letter->to, letter->shuffle);
                      choose(steadyNow());
                  }),
       ends_(std::move(ends)),
@@ -139,7 +139,7 @@
 void Binding::choose(Micros now) {
     if (stopping_ || !search_.mayDial(now)) return;
     for (const proto::Peer& peer : view_.control()) selection_.know(peer);
-    for (const std::string& seed : view_.entries()) selection_.knowAddress(seed);
+    for (const std::string& seed : view_.seedAddresses()) selection_.knowAddress(seed);
     const auto chosen = selection_.choose(
         now, [this](const std::string& address) { return view_.peers().count(address) != 0; });
     if (chosen) dial(*chosen, now);
@@ -157,7 +157,7 @@
     const bool isWanted = search_.dialEnded() && !stopping_;
     if (!link) {
         selection_.failed(steadyNow(), address);
-        view_.lost(address);
+        view_.remove(address);
         return;  // the next tick tries another one
     }
     if (!isWanted) return link->close();
@@ -213,7 +213,7 @@
     if (const auto sentAt = selection_.sentNoEarlier(heartbeat)) ends_.view.proven(std::min(now, *sentAt));
     for (const proto::Peer& peer : heartbeat.controllers()) {
         selection_.know(peer);
-        view_.met(peer);
+        view_.recordContact(peer);
     }
     sendMark(now);
     noteStranded(now);
--- a/src/gateway/gossip/view.cpp
+++ b/src/gateway/gossip/view.cpp
@@ -62,19 +62,19 @@
     return out;
 }
 
-std::optional<View::Letter> View::heard(const proto::Shuffle& shuffle) {
+std::optional<View::Letter> View::receive(const proto::Shuffle& shuffle) {
     if (shuffle.from().address().empty() || shuffle.from().address() == self_.address()) return std::nullopt;
     std::optional<Letter> out;
     if (!shuffle.answer()) out = Letter{shuffle.from().address(), letter(true)};
     proto::Peer from = shuffle.from();
     from.set_age(0);
-    met(from);
+    recordContact(from);
     for (const proto::Peer& peer : shuffle.sample()) take(peer);
     trim();
     return out;
 }
 
-void View::met(const proto::Peer& peer) {
+void View::recordContact(const proto::Peer& peer) {
     if (peer.address().empty() || peer.address() == self_.address()) return;
     if (asked_ == peer.address()) asked_.reset();
     peers_[peer.address()] = peer;
@@ -82,7 +82,7 @@
     trim();
 }
 
-void View::lost(const std::string& address) { peers_.erase(address); }
+void View::remove(const std::string& address) { peers_.erase(address); }
 
 void View::take(const proto::Peer& peer) {
     if (peer.address().empty() || peer.address() == self_.address() || peer.age() > settings_.ageMost) return;
--- a/src/gateway/gossip/view.h
+++ b/src/gateway/gossip/view.h
@@ -35,15 +35,15 @@
     [[nodiscard]] std::optional<Letter> due(Micros now);
     [[nodiscard]] Micros nextDue() const { return next_; }
     // What a neighbour wrote; its answer, if it wants one.
-    [[nodiscard]] std::optional<Letter> heard(const proto::Shuffle& shuffle);
+    [[nodiscard]] std::optional<Letter> receive(const proto::Shuffle& shuffle);
     // First-hand word that it is there, or that it isn't.
-    void met(const proto::Peer& peer);
-    void lost(const std::string& address);
+    void recordContact(const proto::Peer& peer);
+    void remove(const std::string& address);
     void seeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
 
     [[nodiscard]] std::vector<proto::Peer> control() const;  // others that serve control
     [[nodiscard]] const std::map<std::string, proto::Peer>& peers() const { return peers_; }
-    [[nodiscard]] const std::vector<std::string>& entries() const { return seeds_; }
+    [[nodiscard]] const std::vector<std::string>& seedAddresses() const { return seeds_; }
 
 private:
     void take(const proto::Peer& peer);
--- a/src/gateway/registry/registry.cpp
+++ b/src/gateway/registry/registry.cpp
@@ -22,44 +22,44 @@
     changed_.insert(id);
 }
 
-Registry::News Registry::heard(Micros now, const proto::Server& said) {
-    if (said.id().empty() || departed_.count(said.id()) != 0) return News::old;
+Registry::ReportEffect Registry::applyReport(Micros now, const proto::Server& said) {
+    if (said.id().empty() || departed_.count(said.id()) != 0) return ReportEffect::none;
     const Micros at = now - std::max<Micros>(0, said.heard_ago());
     if (said.gone()) return signOff(said.id(), at, now);
     const auto known = servers_.find(said.id());
     const bool isNew = known == servers_.end();
     if (isNew) {
-        if (servers_.size() >= settings_.most) return News::old;
-    } else if (said.call_count() < known->second.said.call_count()) {
+        if (servers_.size() >= settings_.most) return ReportEffect::none;
+    } else if (said.call_count() < known->second.report.call_count()) {
         return heardLate(known->second, said);
-    } else if (said.call_count() == known->second.said.call_count()) {
-        if (said.emptying() && !known->second.said.emptying()) return heardLate(known->second, said);
+    } else if (said.call_count() == known->second.report.call_count()) {
+        if (said.emptying() && !known->second.report.emptying()) return heardLate(known->second, said);
         const bool later = at > known->second.heardAt;
         known->second.heardAt = std::max(known->second.heardAt, at);
-        return later ? News::same : News::old;
+        return later ? ReportEffect::refreshed : ReportEffect::none;
     }
     lastHeard_ = std::max(lastHeard_, at);
     if (isNew) claimAddress(said, now);
     return update(servers_[said.id()], said, at, now, isNew);
 }
 
-Registry::News Registry::heardLate(Server& server, const proto::Server& said) {
-    if (!said.emptying() || server.said.emptying()) return News::old;
-    server.said.set_emptying(true);
-    noteChange(server.said.id());
-    return News::urgent;
+Registry::ReportEffect Registry::heardLate(Server& server, const proto::Server& said) {
+    if (!said.emptying() || server.report.emptying()) return ReportEffect::none;
+    server.report.set_emptying(true);
+    noteChange(server.report.id());
+    return ReportEffect::urgent;
 }
 
-Registry::News Registry::signOff(const std::string& id, Micros at, Micros now) {
-    if (now - at > settings_.goneKept) return News::old;
+Registry::ReportEffect Registry::signOff(const std::string& id, Micros at, Micros now) {
+    if (now - at > settings_.goneKept) return ReportEffect::none;
     lastHeard_ = std::max(lastHeard_, at);
     if (const auto known = servers_.find(id); known != servers_.end()) {
-        byAddress_.erase(known->second.said.address());
+        byAddress_.erase(known->second.report.address());
         servers_.erase(known);
     }
     departed_[id] = at;
     noteChange(id);
-    return News::urgent;
+    return ReportEffect::urgent;
 }
 
 void Registry::claimAddress(const proto::Server& said, Micros now) {
@@ -82,26 +82,26 @@
     return changed;
 }
 
-Registry::News Registry::update(Server& server, const proto::Server& said, Micros at, Micros now,
-                                bool isNew) {
-    const bool emptied = said.emptying() && !server.said.emptying();
+Registry::ReportEffect Registry::update(Server& server, const proto::Server& said, Micros at, Micros now,
+                                        bool isNew) {
+    const bool emptied = said.emptying() && !server.report.emptying();
     const bool coldChanged = updateColdTime(server, said, at, now);
-    const bool changed = isNew || coldChanged || placedOtherwise(server.said, said);
+    const bool changed = isNew || coldChanged || placedOtherwise(server.report, said);
     if (server.firstAt == 0) server.firstAt = now - std::max<Micros>(0, said.age());
-    const bool departing = server.said.emptying();
-    server.said = said;
-    if (departing) server.said.set_emptying(true);
+    const bool departing = server.report.emptying();
+    server.report = said;
+    if (departing) server.report.set_emptying(true);
     server.heardAt = std::max(server.heardAt, at);
-    if (!emptied && !changed) return News::same;
+    if (!emptied && !changed) return ReportEffect::refreshed;
     noteChange(said.id());
-    return emptied ? News::urgent : News::changed;
+    return emptied ? ReportEffect::urgent : ReportEffect::changed;
 }
 
-void Registry::hint(Micros now, const proto::Server& said, Micros ago) {
+void Registry::restore(Micros now, const proto::Server& said, Micros ago) {
     if (said.id().empty() || said.gone() || departed_.count(said.id()) != 0) return;
     if (servers_.count(said.id()) != 0 || byAddress_.count(said.address()) != 0) return;
     Server& server = servers_[said.id()];
-    server.said = said;
+    server.report = said;
     server.heardAt = now - static_cast<Micros>(settings_.missed * static_cast<double>(settings_.beatEvery)) +
                      settings_.hintFor;
     server.firstAt = now;
@@ -113,24 +113,25 @@
     noteChange(said.id());
 }
 
-void Registry::alive(Micros now, const std::string& id) {
+void Registry::recordAnswer(Micros now, const std::string& id) {
     if (const auto at = servers_.find(id); at != servers_.end()) at->second.aliveAt = now;
 }
 
-bool Registry::voided(Micros now, const std::string& id) {
+bool Registry::removeReplaced(Micros now, const std::string& id) {
     const auto at = servers_.find(id);
     if (at == servers_.end()) return false;
-    byAddress_.erase(at->second.said.address());
+    byAddress_.erase(at->second.report.address());
     servers_.erase(at);
     departed_[id] = now;
     noteChange(id);
     return true;
 }
 
-void Registry::chilled(Micros now, const std::string& zone, const std::map<std::string, Micros>& warmUp) {
+void Registry::markZoneCold(Micros now, const std::string& zone,
+                            const std::map<std::string, Micros>& warmUp) {
     for (auto& [id, server] : servers_) {
-        if (server.said.zone() != zone) continue;
-        const auto warm = warmUp.find(server.said.service());
+        if (server.report.zone() != zone) continue;
+        const auto warm = warmUp.find(server.report.service());
         server.coldByOrder = true;
         server.orderAt = now;
         server.coldUntil = std::max(server.coldUntil, now + (warm == warmUp.end() ? 0 : warm->second));
@@ -150,9 +151,9 @@
     std::erase_if(servers_, [&](const auto& at) {
         const Server& server = at.second;
         if (now - server.heardAt <= silent || now - server.aliveAt <= settings_.aliveFor) return false;
-        byAddress_.erase(server.said.address());
+        byAddress_.erase(server.report.address());
         // One that was leaving has ended; any other comes back with its next beat.
-        if (server.said.emptying()) departed_[at.first] = now;
+        if (server.report.emptying()) departed_[at.first] = now;
         changed_.insert(at.first);
         return true;
     });
@@ -178,8 +179,8 @@
     return std::max<Micros>(0, server.coldUntil - now);
 }
 
-proto::Server Registry::wordOf(const Server& server, Micros now) const {
-    proto::Server out = server.said;
+proto::Server Registry::reportOf(const Server& server, Micros now) const {
+    proto::Server out = server.report;
     out.set_heard_ago(now - server.heardAt);
     out.set_age(now - server.firstAt);
     out.set_cold_left(coldLeft(server, server.heardAt));
--- a/src/gateway/registry/registry.h
+++ b/src/gateway/registry/registry.h
@@ -28,37 +28,37 @@
 };
 
 struct Server {
-    proto::Server said;  // as of its newest call
-    Micros heardAt = 0;  // by anyone
+    proto::Server report;  // as of its newest call
+    Micros heardAt = 0;    // by anyone
     Micros firstAt = 0;
     Micros coldUntil = 0;
     Micros aliveAt = 0;        // a proxy had an answer
     bool coldByOrder = false;  // its zone was taken back: cold until it says otherwise
     Micros orderAt = 0;
-    [[nodiscard]] bool usable() const { return !said.gone() && !said.emptying(); }
+    [[nodiscard]] bool usable() const { return !report.gone() && !report.emptying(); }
 };
 
 class Registry {
 public:
     explicit Registry(Settings settings) : settings_(settings) {}
 
-    enum class News {
-        old,   // nothing new
-        same,  // heard again, nothing changed
+    enum class ReportEffect {
+        none,       // nothing new
+        refreshed,  // heard again, nothing changed
         changed,
         urgent,  // it empties or has gone: must be passed on before it is answered
     };
     // A beat or a sign-off (`gone`), first hand or by another controller (then `heard_ago` tells how old).
-    News heard(Micros now, const proto::Server& said);
+    ReportEffect applyReport(Micros now, const proto::Server& said);
     // From an earlier run's disk, written `ago` by the time of day: gone if it doesn't beat soon, and cold
     // until then where its word is too old to tell. Never outweighs what was heard, nor a departure.
-    void hint(Micros now, const proto::Server& said, Micros ago);
+    void restore(Micros now, const proto::Server& said, Micros ago);
     // A proxy had a good answer from it.
-    void alive(Micros now, const std::string& id);
+    void recordAnswer(Micros now, const std::string& id);
     // Another incarnation has answered at its address.
-    bool voided(Micros now, const std::string& id);
+    bool removeReplaced(Micros now, const std::string& id);
     // The zone's servers may have turned cold.
-    void chilled(Micros now, const std::string& zone, const std::map<std::string, Micros>& warmUp);
+    void markZoneCold(Micros now, const std::string& zone, const std::map<std::string, Micros>& warmUp);
     // Silent ones go; true if any did. Where nobody was heard for a while, nobody is judged.
     bool tick(Micros now);
 
@@ -71,22 +71,22 @@
     [[nodiscard]] proto::Server departure(const std::string& id, Micros now) const;
     [[nodiscard]] Micros coldLeft(const Server& server, Micros now) const;
     // For another controller.
-    [[nodiscard]] proto::Server wordOf(const Server& server, Micros now) const;
+    [[nodiscard]] proto::Server reportOf(const Server& server, Micros now) const;
     [[nodiscard]] std::uint64_t changes() const { return changes_; }
     /// The servers that have come, changed or gone since the last call, and departures that were forgotten.
     [[nodiscard]] std::set<std::string> takeChanged() { return std::exchange(changed_, {}); }
 
 private:
     // Its id is never taken again, whatever its call count says. `at`: when it was said.
-    News signOff(const std::string& id, Micros at, Micros now);
+    ReportEffect signOff(const std::string& id, Micros at, Micros now);
     // A word that is older than the newest one known; only a departure still counts.
-    News heardLate(Server& server, const proto::Server& said);
+    ReportEffect heardLate(Server& server, const proto::Server& said);
     // A new incarnation at an address voids the old one.
     void claimAddress(const proto::Server& said, Micros now);
     // Takes over how long the server is still cold; returns whether that changed by more than a beat's noise.
     static bool updateColdTime(Server& server, const proto::Server& said, Micros at, Micros now);
     void noteChange(const std::string& id);
-    News update(Server& server, const proto::Server& said, Micros at, Micros now, bool isNew);
+    ReportEffect update(Server& server, const proto::Server& said, Micros at, Micros now, bool isNew);
 
     Settings settings_;
     std::map<std::string, Server> servers_;
--- a/tests/gateway/configuration_difference_test.cpp
+++ b/tests/gateway/configuration_difference_test.cpp
@@ -210,14 +210,14 @@
         proto::BudgetResource budget;
         budget.set_per_s(static_cast<double>(draw() % 2));
         const ConfigurationResources::Source source{configuration, emptied, budget, true};
-        following.follow(source);
+        following.update(source);
         ResourceDistributor anew;
-        ConfigurationResources(anew).follow(source);
-        REQUIRE(followed.wanted().size() == anew.wanted().size());
-        for (const auto& [key, wanted] : anew.wanted()) {
+        ConfigurationResources(anew).update(source);
+        REQUIRE(followed.desired().size() == anew.desired().size());
+        for (const auto& [key, wanted] : anew.desired()) {
             INFO(key);
-            REQUIRE(followed.wanted().count(key) == 1);
-            REQUIRE(followed.wanted().at(key).hash == wanted.hash);
+            REQUIRE(followed.desired().count(key) == 1);
+            REQUIRE(followed.desired().at(key).hash == wanted.hash);
         }
     }
 }
--- a/tests/gateway/departures_test.cpp
+++ b/tests/gateway/departures_test.cpp
@@ -118,17 +118,17 @@
 TEST_CASE("After a restart, departures loaded from disk outweigh older copies of the server",
           "[departures]") {
     registry::Registry beforeRestart({});
-    beforeRestart.heard(kSecond, heartbeat("i"));
-    const proto::Server recalled = beforeRestart.wordOf(beforeRestart.servers().at("i"), kSecond);
-    beforeRestart.heard(2 * kSecond, signOff("i"));
+    beforeRestart.applyReport(kSecond, heartbeat("i"));
+    const proto::Server recalled = beforeRestart.reportOf(beforeRestart.servers().at("i"), kSecond);
+    beforeRestart.applyReport(2 * kSecond, signOff("i"));
     const auto departures = beforeRestart.departures(3 * kSecond);
     REQUIRE(departures.size() == 1);
     CHECK(departures.front().heard_ago() == kSecond);
 
     registry::Registry afterRestart({});
-    for (const proto::Server& departed : departures) afterRestart.heard(0, departed);
-    afterRestart.hint(0, recalled, kSecond);
-    afterRestart.heard(kSecond, heartbeat("i"));
+    for (const proto::Server& departed : departures) afterRestart.applyReport(0, departed);
+    afterRestart.restore(0, recalled, kSecond);
+    afterRestart.applyReport(kSecond, heartbeat("i"));
     CHECK(afterRestart.servers().empty());
     CHECK(afterRestart.departed().count("i") == 1);
 }
@@ -136,15 +136,15 @@
 TEST_CASE("A controller that was disconnected when a server signed off learns of it on reconnecting",
           "[departures]") {
     registry::Registry connected({}), disconnected({});
-    for (auto* each : {&connected, &disconnected}) each->heard(kSecond, heartbeat("i"));
-    connected.heard(2 * kSecond, signOff("i"));
+    for (auto* each : {&connected, &disconnected}) each->applyReport(kSecond, heartbeat("i"));
+    connected.applyReport(2 * kSecond, signOff("i"));
     for (const proto::Server& departed : connected.departures(4 * kSecond))
-        CHECK(disconnected.heard(4 * kSecond, departed) == registry::Registry::News::urgent);
+        CHECK(disconnected.applyReport(4 * kSecond, departed) == registry::Registry::ReportEffect::urgent);
     CHECK(disconnected.servers().empty());
     // The departure is kept for as long as at the other controller, not counted from now on.
     CHECK(disconnected.departed().at("i") == 2 * kSecond);
     for (const proto::Server& departed : connected.departures(4 * kSecond))
-        CHECK(disconnected.heard(70 * kSecond, departed) == registry::Registry::News::old);
+        CHECK(disconnected.applyReport(70 * kSecond, departed) == registry::Registry::ReportEffect::none);
 }
 
 TEST_CASE("A server that the current controller has never named is dropped once it knows all servers",
--- a/tests/gateway/distribution_journal_test.cpp
+++ b/tests/gateway/distribution_journal_test.cpp
@@ -7,8 +7,8 @@
 namespace marldale::distribution {
 namespace {
 
-Wanted resourceOf(const std::string& key, unsigned content, bool urgent) {
-    Wanted out;
+DesiredResource resourceOf(const std::string& key, unsigned content, bool urgent) {
+    DesiredResource out;
     if (key[0] == 'r') {
         out.line.mutable_route()->set_host_name(key.substr(2));
         out.line.mutable_route()->set_tries(content);
@@ -33,7 +33,7 @@
     std::map<ProxyId, std::map<std::string, std::string>> held;
     bool fault = false;  // planted: a change is not told to the journal's distributor
 
-    void put(const std::string& key, const Wanted& wanted) {
+    void put(const std::string& key, const DesiredResource& wanted) {
         if (!fault) journal.put(key, wanted);
         full.wanted[key] = wanted;
     }
@@ -69,8 +69,8 @@
                 std::vector<std::string> lines;
                 for (const proto::Resource& line : batch.lines) lines.push_back(line.SerializeAsString());
                 const FullComparisonDistributor::Batch& other = at->second;
-                if (batch.mark != other.mark || batch.fresh != other.fresh || batch.whole != other.whole ||
-                    lines != other.lines)
+                if (batch.mark != other.mark || batch.fresh != other.fresh ||
+                    batch.complete != other.complete || lines != other.lines)
                     return false;
                 expected.erase(at);
                 open[proxy].push_back(batch.mark);
@@ -195,7 +195,7 @@
     REQUIRE(change.size() == 1);
     CHECK(change[0].lines.size() == 1);
     CHECK(change[0].proxies.size() == kProxies);
-    CHECK(change[0].whole);
+    CHECK(change[0].complete);
     CHECK(distributor.nextDue() == 2000 + 500000);  // the wait for their answers
 }
 
--- a/tests/gateway/distribution_load_test.cpp
+++ b/tests/gateway/distribution_load_test.cpp
@@ -164,7 +164,7 @@
     void apply() {
         const proto::BudgetResource budget;
         const std::set<std::string> emptied;
-        resources_.follow({configurationOf(tries_), emptied, budget, true});
+        resources_.update({configurationOf(tries_), emptied, budget, true});
         loop_.schedule.request(now());
         loop_.wake();
         wakeAt(loop_.nextDue());
--- a/tests/gateway/full_comparison_distributor.h
+++ b/tests/gateway/full_comparison_distributor.h
@@ -14,7 +14,7 @@
 
 class FullComparisonDistributor {
 public:
-    std::map<std::string, Wanted> wanted;
+    std::map<std::string, DesiredResource> wanted;
 
     void join(ProxyId proxy, const std::string& zone) { joining_[proxy] = zone; }
     void leave(ProxyId proxy) {
@@ -26,7 +26,7 @@
 
     struct Batch {
         std::uint64_t mark = 0;
-        bool fresh = false, whole = false;
+        bool fresh = false, complete = false;
         std::vector<std::string> lines;  // serialized
     };
     std::map<ProxyId, Batch> turn(Micros now) {
@@ -44,7 +44,7 @@
             batch.fresh = joining_.count(proxy) != 0;
             std::map<std::string, Hash> hashes;
             for (const auto& [key, line] : wanted) hashes[key] = line.hash;
-            batch.whole = sent_[proxy] == hashes;
+            batch.complete = sent_[proxy] == hashes;
         }
         joining_.clear();
         return std::exchange(out_, {});
@@ -53,10 +53,12 @@
 private:
     struct Port {
         FullComparisonDistributor& book;
-        const std::map<std::string, Wanted>& wanted(const std::string& /*zone*/) const { return book.wanted; }
-        static Hash hash(const Wanted& line) { return line.hash; }
-        static double priority(const std::string& /*zone*/, const std::string& key, const Wanted* now,
-                               Hash /*held*/) {
+        const std::map<std::string, DesiredResource>& wanted(const std::string& /*zone*/) const {
+            return book.wanted;
+        }
+        static Hash hash(const DesiredResource& line) { return line.hash; }
+        static double priority(const std::string& /*zone*/, const std::string& key,
+                               const DesiredResource* now, Hash /*held*/) {
             const bool urgent = now != nullptr ? now->urgent : key[0] == 'v' || key[0] == 'z';
             if (urgent) return policy::kUrgentPriority;
             return key[0] == 'v' ? 0 : 1;
@@ -67,7 +69,7 @@
             return true;
         }
         static bool mayCopy(const std::set<ProxyId>& /*proxies*/) { return true; }
-        void line(TableId table, const std::string& key, const Wanted* now) const {
+        void line(TableId table, const std::string& key, const DesiredResource* now) const {
             for (const ProxyId proxy : book.tables_.tables.at(table).bound) book.send(proxy, key, now);
         }
         static void drop(TableId /*table*/) {}
@@ -87,7 +89,7 @@
         }
         void wrote(ProxyId proxy, double /*lines*/) const { book.out_[proxy].mark = book.tables_.turn; }
     };
-    void send(ProxyId proxy, const std::string& key, const Wanted* line) {
+    void send(ProxyId proxy, const std::string& key, const DesiredResource* line) {
         auto& sent = sent_[proxy];
         if (line != nullptr) {
             sent[key] = line->hash;
@@ -104,7 +106,8 @@
     }
 
     Port port_{*this};
-    policy::Distribution<std::string, Wanted, std::string, ProxyId, Port> tables_{port_, 500000, 2000000};
+    policy::Distribution<std::string, DesiredResource, std::string, ProxyId, Port> tables_{port_, 500000,
+                                                                                           2000000};
     std::map<ProxyId, std::string> joining_;
     std::map<ProxyId, std::map<std::string, Hash>> sent_;
     std::map<ProxyId, Batch> out_;
--- a/tests/gateway/resource_distributor_test.cpp
+++ b/tests/gateway/resource_distributor_test.cpp
@@ -6,8 +6,8 @@
 namespace marldale::distribution {
 namespace {
 
-Wanted route(const std::string& host, unsigned tries, bool urgent = false) {
-    Wanted out;
+DesiredResource route(const std::string& host, unsigned tries, bool urgent = false) {
+    DesiredResource out;
     out.line.mutable_route()->set_host_name(host);
     out.line.mutable_route()->set_path_start("/");
     out.line.mutable_route()->set_tries(tries);
@@ -48,7 +48,7 @@
     book.join(1, "north");
     const auto first = turnOf(book, 1000);
     REQUIRE(first.at(1).fresh);
-    REQUIRE(first.at(1).whole);
+    REQUIRE(first.at(1).complete);
     REQUIRE(first.at(1).lines.size() == 2);
     book.answered(1, first.at(1).mark);
     REQUIRE(turnOf(book, 2000).empty());
@@ -136,7 +136,7 @@
         }
         for (int i = 0; i < 60; ++i) step(true);
         std::map<std::string, unsigned> wanted;
-        for (const auto& [key, line] : book.wanted())
+        for (const auto& [key, line] : book.desired())
             wanted[line.line.route().host_name()] = line.line.route().tries();
         for (const auto& [proxy, has] : held) REQUIRE(has.routes == wanted);
     }
--- a/tests/gateway/update_age_test.cpp
+++ b/tests/gateway/update_age_test.cpp
@@ -25,8 +25,8 @@
 TEST_CASE("A delayed update does not make a silent server appear alive", "[updates]") {
     const Micros now = 100 * kSecond;
     registry::Registry registry({});
-    (void)registry.heard(now, agedUpdate(update("1"), 10 * kSecond));
-    (void)registry.heard(now, agedUpdate(update("2"), kMaxTrustedUpdateDelayUs));
+    (void)registry.applyReport(now, agedUpdate(update("1"), 10 * kSecond));
+    (void)registry.applyReport(now, agedUpdate(update("2"), kMaxTrustedUpdateDelayUs));
     (void)registry.tick(now);
     CHECK(registry.servers().count("1") == 0);
     CHECK(registry.servers().count("2") == 1);
@@ -38,7 +38,7 @@
     cold.set_heard_ago(0);
     cold.set_cold_left(3 * kSecond);
     registry::Registry registry({});
-    (void)registry.heard(now, agedUpdate(cold, 2 * kSecond));
+    (void)registry.applyReport(now, agedUpdate(cold, 2 * kSecond));
     CHECK(registry.coldLeft(registry.servers().at("1"), now) == 3 * kSecond);
 }
 
--- a/tests/gateway/view_test.cpp
+++ b/tests/gateway/view_test.cpp
@@ -31,7 +31,7 @@
     void send(const View::Letter& letter) {
         const auto to = all.find(letter.to);
         if (to == all.end() || !to->second.up || draw() % 20 == 0) return;
-        if (auto answer = to->second.view.heard(letter.shuffle)) send(*answer);
+        if (auto answer = to->second.view.receive(letter.shuffle)) send(*answer);
     }
     void run(Micros until) {
         for (; now < until; now += 50000) {
@@ -75,12 +75,12 @@
         REQUIRE(letter);
         return letter->to == other.address();
     };
-    view.met(other);
+    view.recordContact(other);
     for (int round = 0; round < 5; ++round) {  // every other answer is lost
         CHECK(asked());
         CHECK(asked());
         REQUIRE(view.control().size() == 1);
-        CHECK_FALSE(view.heard(said));
+        CHECK_FALSE(view.receive(said));
     }
     CHECK(asked());
     CHECK(asked());
