--- a/src/gateway/configuration/configuration.cpp
+++ b/src/gateway/configuration/configuration.cpp
@@ -17,79 +17,79 @@
 namespace marldale::configuration {
 namespace {
 
-constexpr Micros kTargetOver = 60000000;  // a target this far over its route's give_up is a mistake
+constexpr Micros kTargetExcessLimitUs = 60000000;  // a target this far above give_up is a mistake
 
-absl::Status wrong(const std::string& place, const std::string& what) {
+absl::Status invalidAt(const std::string& place, const std::string& what) {
     return absl::InvalidArgumentError(absl::StrCat(place, ": ", what));
 }
-std::string textOf(const rapidjson::Value& from, const char* key) {
+std::string stringMember(const rapidjson::Value& from, const char* key) {
     const auto at = from.FindMember(key);
     return at != from.MemberEnd() && at->value.IsString()
                ? std::string(at->value.GetString(), at->value.GetStringLength())
                : std::string();
 }
-// Where something stands in a text. It is written out only for what is refused.
+// A location in a configuration. Formatted only for an error message.
 struct Place {
-    const char* list;  // with a slash at its end, if it is a list
+    const char* list;  // ends with a slash if it is a list
     unsigned at = 0;
-    int rule = -1;  // of a listener; below 0: none
+    int rule = -1;  // index among the rules of a listener; negative: none
     [[nodiscard]] std::string text(const char* rest = "") const {
         if (list[std::strlen(list) - 1] != '/') return absl::StrCat(list, rest);
         return rule < 0 ? absl::StrCat(list, at, rest) : absl::StrCat(list, at, "/rules/", rule, rest);
     }
 };
 
-absl::StatusOr<Micros> timeOf(const rapidjson::Value& from, const char* key, Micros absent,
-                              const Place& place, const char* member = "") {
-    if (!from.HasMember(key)) return absent;
-    auto read = settings::readTime(textOf(from, key));
+absl::StatusOr<Micros> durationMember(const rapidjson::Value& from, const char* key, Micros defaultValue,
+                                      const Place& place, const char* member = "") {
+    if (!from.HasMember(key)) return defaultValue;
+    auto read = settings::readTime(stringMember(from, key));
     if (!read.ok())
-        return wrong(absl::StrCat(place.text(member), "/", key), std::string(read.status().message()));
+        return invalidAt(absl::StrCat(place.text(member), "/", key), std::string(read.status().message()));
     return read;
 }
 
 absl::Status readRoute(const rapidjson::Value& rule, const std::string& host, const Place& place,
                        const std::set<std::string>& services, proto::RouteResource& out) {
-    out.set_name(textOf(rule, "name"));
+    out.set_name(stringMember(rule, "name"));
     out.set_host_name(absl::AsciiStrToLower(host));
-    out.set_path_start(textOf(rule["match"], "path_start"));
-    const std::string kind = textOf(rule, "route_kind");
+    out.set_path_start(stringMember(rule["match"], "path_start"));
+    const std::string kind = stringMember(rule, "route_kind");
     out.set_kind(kind == "writing"      ? proto::RouteResource::WRITING
                  : kind == "fetch_down" ? proto::RouteResource::FETCH_DOWN
                                         : proto::RouteResource::READ_ONLY);
     const rapidjson::Value& action = rule["action"];
-    const auto giveUp = timeOf(action, "give_up", 0, place, "/action");
+    const auto giveUp = durationMember(action, "give_up", 0, place, "/action");
     if (!giveUp.ok()) return giveUp.status();
-    if (*giveUp <= 0) return wrong(place.text("/action/give_up"), "must be above 0");
-    const auto target = timeOf(rule, "target", *giveUp, place);
+    if (*giveUp <= 0) return invalidAt(place.text("/action/give_up"), "must be above 0");
+    const auto target = durationMember(rule, "target", *giveUp, place);
     if (!target.ok()) return target.status();
-    if (*target - *giveUp >= kTargetOver)
-        return wrong(place.text("/target"), "lies a minute or more over give_up");
+    if (*target - *giveUp >= kTargetExcessLimitUs)
+        return invalidAt(place.text("/target"), "lies a minute or more over give_up");
     out.set_give_up(*giveUp);
     out.set_target(*target);
     out.set_tries(static_cast<std::uint32_t>(std::min<std::uint64_t>(action["tries"].GetUint64(), 1000)));
     out.set_rank(rule.HasMember("rank")
                      ? static_cast<std::uint32_t>(std::min<std::uint64_t>(rule["rank"].GetUint64(), 1000000))
                      : 0);
-    const bool one = action.HasMember("service"), split = action.HasMember("shares");
-    if (one == split) return wrong(place.text("/action"), "needs either service or shares");
+    const bool single = action.HasMember("service"), split = action.HasMember("shares");
+    if (single == split) return invalidAt(place.text("/action"), "needs either service or shares");
     std::uint64_t sum = 0;
     const auto add = [&](const std::string& service, std::uint64_t share) -> absl::Status {
-        if (!services.count(service)) return wrong(place.text("/action"), "names an unknown service");
+        if (!services.count(service)) return invalidAt(place.text("/action"), "names an unknown service");
         auto* line = out.add_shares();
         line->set_service(service);
         line->set_share(static_cast<std::uint32_t>(std::min<std::uint64_t>(share, 1000000000)));
         sum += line->share();
         return absl::OkStatus();
     };
-    if (one) {
-        if (auto s = add(textOf(action, "service"), 1); !s.ok()) return s;
+    if (single) {
+        if (auto s = add(stringMember(action, "service"), 1); !s.ok()) return s;
     } else {
         for (const auto& share : action["shares"].GetArray()) {
-            if (auto s = add(textOf(share, "service"), share["share"].GetUint64()); !s.ok()) return s;
+            if (auto s = add(stringMember(share, "service"), share["share"].GetUint64()); !s.ok()) return s;
         }
     }
-    if (sum == 0) return wrong(place.text("/action/shares"), "all shares are 0");
+    if (sum == 0) return invalidAt(place.text("/action/shares"), "all shares are 0");
     return absl::OkStatus();
 }
 
@@ -104,8 +104,8 @@
         out.set_max_header_bytes(limits["max_header_bytes"].GetUint64());
     if (limits.HasMember("max_body_bytes")) out.set_max_body_bytes(limits["max_body_bytes"].GetUint64());
     const Place limitsPlace{"#/limits"};
-    const auto wait = timeOf(limits, "header_wait", out.header_wait(), limitsPlace);
-    const auto quiet = timeOf(limits, "quiet", out.quiet(), limitsPlace);
+    const auto wait = durationMember(limits, "header_wait", out.header_wait(), limitsPlace);
+    const auto quiet = durationMember(limits, "quiet", out.quiet(), limitsPlace);
     if (!wait.ok()) return wait.status();
     if (!quiet.ok()) return quiet.status();
     out.set_header_wait(*wait);
@@ -114,13 +114,13 @@
 }
 
 absl::Status readService(const rapidjson::Value& group, const Place& place, proto::ServiceResource& out) {
-    out.set_name(textOf(group, "name"));
-    out.set_health_path(group.HasMember("health_path") ? textOf(group, "health_path") : "/health");
+    out.set_name(stringMember(group, "name"));
+    out.set_health_path(group.HasMember("health_path") ? stringMember(group, "health_path") : "/health");
     if (group.HasMember("max_connections")) {
         out.set_max_connections(static_cast<std::uint32_t>(
             std::min<std::uint64_t>(group["max_connections"].GetUint64(), 1000000)));
     }
-    const auto warm = timeOf(group, "warm_up", 0, place);
+    const auto warm = durationMember(group, "warm_up", 0, place);
     if (!warm.ok()) return warm.status();
     out.set_warm_up(*warm);
     if (group.HasMember("cold_per_s")) out.set_cold_per_s(group["cold_per_s"].GetDouble());
@@ -135,7 +135,7 @@
     for (unsigned i = 0; i < groups.Size(); ++i) {
         const Place place{"#/groups/", i};
         if (auto s = readService(groups[i], place, services[i]); !s.ok()) return s;
-        if (!names.insert(services[i].name()).second) return wrong(place.text("/name"), "stands twice");
+        if (!names.insert(services[i].name()).second) return invalidAt(place.text("/name"), "stands twice");
     }
     return services;
 }
@@ -149,20 +149,20 @@
         for (unsigned k = 0; k < listener["rules"].Size(); ++k) {
             const Place place{"#/listeners/", i, static_cast<int>(k)};
             proto::RouteResource route;
-            if (auto s =
-                    readRoute(listener["rules"][k], textOf(listener, "host_name"), place, services, route);
+            if (auto s = readRoute(listener["rules"][k], stringMember(listener, "host_name"), place, services,
+                                   route);
                 !s.ok())
                 return s;
             if (!places.emplace(route.host_name(), route.path_start()).second)
-                return wrong(place.text("/match/path_start"), "stands twice under this host");
+                return invalidAt(place.text("/match/path_start"), "stands twice under this host");
             routes.push_back(std::move(route));
         }
     }
     return routes;
 }
 
-// The newest results, by their texts' hash.
-class Memory {
+// The latest results, by the hash of their texts.
+class ParseCache {
 public:
     [[nodiscard]] const Configuration* find(const XXH128_hash_t& hash) const {
         const auto at = std::find_if(entries_.begin(), entries_.end(), [&](const Entry& entry) {
@@ -170,7 +170,7 @@
         });
         return at == entries_.end() ? nullptr : &at->configuration;
     }
-    void keep(const XXH128_hash_t& hash, const Configuration& configuration) {
+    void insert(const XXH128_hash_t& hash, const Configuration& configuration) {
         entries_.push_back({hash, configuration});
         if (entries_.size() > kEntries) entries_.pop_front();
     }
@@ -187,7 +187,7 @@
 }  // namespace
 
 absl::StatusOr<Configuration> parseConfiguration(std::string_view json) {
-    std::string text(json);  // parsed in place: its strings aren't copied once more
+    std::string text(json);  // parsed in place, which saves copying the strings
     rapidjson::Document document;
     document.ParseInsitu<rapidjson::kParseValidateEncodingFlag>(text.data());
     if (document.HasParseError()) {
@@ -210,11 +210,11 @@
 }
 
 absl::StatusOr<Configuration> readConfiguration(std::string_view json) {
-    thread_local Memory memory;
+    thread_local ParseCache cache;
     const XXH128_hash_t hash = XXH3_128bits(json.data(), json.size());
-    if (const Configuration* known = memory.find(hash)) return *known;
+    if (const Configuration* cached = cache.find(hash)) return *cached;
     auto parsed = parseConfiguration(json);
-    if (parsed.ok()) memory.keep(hash, *parsed);
+    if (parsed.ok()) cache.insert(hash, *parsed);
     return parsed;
 }
 
--- a/src/gateway/configuration/configuration.h
+++ b/src/gateway/configuration/configuration.h
@@ -1,4 +1,5 @@
-// A configuration as the operator sends it: checked by its schema, then by meaning. No I/O.
+// Parses the configuration that an operator sends, and checks it against its schema and for consistency. No
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,7 @@
 
 namespace proto = gateway::proto;
 
-/// Copies share routes and services.
+/// A parsed configuration. Copies share routes and services.
 struct Configuration {
     std::uint64_t version = 0, builtOn = 0;
     proto::LimitsResource limits;
@@ -21,11 +22,11 @@
     SharedList<proto::ServiceResource> services;
 };
 
-/// InvalidArgument with the place and what is allowed there. What depends on the present version isn't looked
-/// at. The newest few results are kept by a hash of 128 bits over their text, so that a call, the state
-/// machine and a restored snapshot parse a text once between them (one memory for each thread).
+/// Parses a configuration; returns InvalidArgument with the location and the violated rule if it is invalid.
+/// Does not check anything that depends on the current version. Caches the latest few results per thread by a
+/// 128-bit hash of the text, so that a request, the state machine and a restored snapshot parse it only once.
 [[nodiscard]] absl::StatusOr<Configuration> readConfiguration(std::string_view json);
-/// The same, without that memory.
+/// Like `readConfiguration`, without the cache.
 [[nodiscard]] absl::StatusOr<Configuration> parseConfiguration(std::string_view json);
 
 }  // namespace marldale::configuration
--- a/src/gateway/configuration/configuration_difference.cpp
+++ b/src/gateway/configuration/configuration_difference.cpp
@@ -19,7 +19,7 @@
     bool keysDiffer = false;
 };
 
-// Items that keep their places at both ends are compared in place; what is between them is looked up.
+// The common prefix and suffix of keys are compared item by item; items in between are looked up by key.
 template <class Item>
 ListDifference<Item> differenceOf(const SharedList<Item>& before, const SharedList<Item>& after) {
     ListDifference<Item> difference;
@@ -54,27 +54,27 @@
 
 }  // namespace
 
-bool same(const proto::RouteResource& one, const proto::RouteResource& other) {
-    return one.name() == other.name() && one.host_name() == other.host_name() &&
-           one.path_start() == other.path_start() && one.kind() == other.kind() &&
-           one.target() == other.target() && one.give_up() == other.give_up() &&
-           one.tries() == other.tries() && one.rank() == other.rank() &&
-           std::equal(one.shares().begin(), one.shares().end(), other.shares().begin(), other.shares().end(),
-                      [](const proto::Share& a, const proto::Share& b) {
+bool same(const proto::RouteResource& left, const proto::RouteResource& right) {
+    return left.name() == right.name() && left.host_name() == right.host_name() &&
+           left.path_start() == right.path_start() && left.kind() == right.kind() &&
+           left.target() == right.target() && left.give_up() == right.give_up() &&
+           left.tries() == right.tries() && left.rank() == right.rank() &&
+           std::equal(left.shares().begin(), left.shares().end(), right.shares().begin(),
+                      right.shares().end(), [](const proto::Share& a, const proto::Share& b) {
                           return a.service() == b.service() && a.share() == b.share();
                       });
 }
 
-bool same(const proto::ServiceResource& one, const proto::ServiceResource& other) {
-    return one.name() == other.name() && one.health_path() == other.health_path() &&
-           one.max_connections() == other.max_connections() && one.warm_up() == other.warm_up() &&
-           one.cold_per_s() == other.cold_per_s();
+bool same(const proto::ServiceResource& left, const proto::ServiceResource& right) {
+    return left.name() == right.name() && left.health_path() == right.health_path() &&
+           left.max_connections() == right.max_connections() && left.warm_up() == right.warm_up() &&
+           left.cold_per_s() == right.cold_per_s();
 }
 
-bool same(const proto::LimitsResource& one, const proto::LimitsResource& other) {
-    return one.max_header_bytes() == other.max_header_bytes() &&
-           one.max_body_bytes() == other.max_body_bytes() && one.header_wait() == other.header_wait() &&
-           one.quiet() == other.quiet();
+bool same(const proto::LimitsResource& left, const proto::LimitsResource& right) {
+    return left.max_header_bytes() == right.max_header_bytes() &&
+           left.max_body_bytes() == right.max_body_bytes() && left.header_wait() == right.header_wait() &&
+           left.quiet() == right.quiet();
 }
 
 ConfigurationDifference differenceOf(const Configuration& before, const Configuration& after) {
@@ -85,7 +85,7 @@
     difference.routesRemoved = std::move(routes.removed);
     difference.servicesPut = std::move(services.put);
     difference.servicesRemoved = std::move(services.removed);
-    difference.servicesNamedAnew = services.keysDiffer;
+    difference.serviceNamesChanged = services.keysDiffer;
     difference.limitsChanged = !same(before.limits, after.limits);
     return difference;
 }
--- a/src/gateway/configuration/configuration_difference.h
+++ b/src/gateway/configuration/configuration_difference.h
@@ -1,4 +1,4 @@
-// What differs between two configurations, route by route and service by service. No I/O.
+// Computes the difference between two configurations by route and service. No I/O.
 #pragma once
 
 #include <string>
@@ -8,21 +8,22 @@
 
 namespace marldale::configuration {
 
-/// The pointers are into the two configurations that were compared.
+/// The difference between two configurations. The pointers refer to the compared configurations.
 struct ConfigurationDifference {
     std::vector<const proto::RouteResource*> routesPut;          // new or changed
     std::vector<const proto::RouteResource*> routesRemoved;      // by host name and path start
     std::vector<const proto::ServiceResource*> servicesPut;      // new or changed
     std::vector<const proto::ServiceResource*> servicesRemoved;  // by name
-    bool servicesNamedAnew = false;                              // a service came or went
+    bool serviceNamesChanged = false;                            // a service was added or removed
     bool limitsChanged = false;
 };
 
-[[nodiscard]] bool same(const proto::RouteResource& one, const proto::RouteResource& other);
-[[nodiscard]] bool same(const proto::ServiceResource& one, const proto::ServiceResource& other);
-[[nodiscard]] bool same(const proto::LimitsResource& one, const proto::LimitsResource& other);
+/// Return whether all fields are equal.
+[[nodiscard]] bool same(const proto::RouteResource& left, const proto::RouteResource& right);
+[[nodiscard]] bool same(const proto::ServiceResource& left, const proto::ServiceResource& right);
+[[nodiscard]] bool same(const proto::LimitsResource& left, const proto::LimitsResource& right);
 
-/// Costs one comparison for each item that stands where it stood; others are looked up by their key.
+/// Returns the difference. Items that keep their position cost left comparison; others are looked up by key.
 [[nodiscard]] ConfigurationDifference differenceOf(const Configuration& before, const Configuration& after);
 
 }  // namespace marldale::configuration
--- a/src/gateway/configuration/configuration_store.cpp
+++ b/src/gateway/configuration/configuration_store.cpp
@@ -5,16 +5,16 @@
 namespace marldale::configuration {
 namespace {
 
-constexpr char kReplace = 'R', kBegin = 'B', kFinish = 'F';
+constexpr char kReplace = 'R', kEmptyZone = 'B', kRefillZone = 'F';
 constexpr char kSnapshotVersion = '2';
-constexpr char kSnapshotWithShortHashes = '1';  // of earlier releases: 64 bits for each version
+constexpr char kSnapshotVersionShortHashes = '1';  // of earlier releases: 64 bits for each version
 
 OrderIdentity identityOf(const Configuration& configuration, std::string_view json) {
     return {configuration.builtOn, configuration.version, digestOf(json)};
 }
 
 void skipShortHashes(bytes::Reader& from) {
-    for (std::uint64_t left = from.var(); from.good() && left > 0; --left) {
+    for (std::uint64_t remaining = from.var(); from.good() && remaining > 0; --remaining) {
         (void)from.var();
         (void)from.fixed();
     }
@@ -23,7 +23,9 @@
 }  // namespace
 
 std::string replaceChange(const std::string& json) { return kReplace + json; }
-std::string zoneChange(const std::string& zone, bool empty) { return (empty ? kBegin : kFinish) + zone; }
+std::string zoneChange(const std::string& zone, bool empty) {
+    return (empty ? kEmptyZone : kRefillZone) + zone;
+}
 
 Verdict ConfigurationStore::judge(const std::string& change) const {
     if (change.empty()) return Verdict::invalid;
@@ -33,9 +35,9 @@
         if (!read.ok()) return Verdict::invalid;
         return history_.judge(identityOf(*read, json), configuration_.version);
     }
-    if (change[0] != kBegin && change[0] != kFinish) return Verdict::invalid;
-    return emptied_.count(change.substr(1)) == (change[0] == kBegin ? 1U : 0U) ? Verdict::already
-                                                                               : Verdict::taken;
+    if (change[0] != kEmptyZone && change[0] != kRefillZone) return Verdict::invalid;
+    return emptied_.count(change.substr(1)) == (change[0] == kEmptyZone ? 1U : 0U) ? Verdict::already
+                                                                                   : Verdict::taken;
 }
 
 Verdict ConfigurationStore::applyReplace(std::uint64_t index, const std::string& json) {
@@ -52,7 +54,7 @@
 Verdict ConfigurationStore::applyZone(std::uint64_t index, const std::string& change) {
     const Verdict verdict = judge(change);
     if (verdict != Verdict::taken) return verdict;
-    if (change[0] == kBegin) {
+    if (change[0] == kEmptyZone) {
         emptied_.insert(change.substr(1));
     } else {
         emptied_.erase(change.substr(1));
@@ -78,26 +80,27 @@
 }
 
 absl::Status ConfigurationStore::restore(const std::string& snapshot) {
-    const bool earlier = !snapshot.empty() && snapshot[0] == kSnapshotWithShortHashes;
-    if (snapshot.empty() || (snapshot[0] != kSnapshotVersion && !earlier))
+    const bool hasShortHashes = !snapshot.empty() && snapshot[0] == kSnapshotVersionShortHashes;
+    if (snapshot.empty() || (snapshot[0] != kSnapshotVersion && !hasShortHashes))
         return absl::DataLossError("a snapshot of configurations has an unknown format");
     bytes::Reader from(std::string_view(snapshot).substr(1), snapshot.size());
     ConfigurationStore next(history_);
     next.index_ = from.var();
     next.json_ = from.text();
-    if (earlier) {
+    if (hasShortHashes) {
         skipShortHashes(from);
     } else {
         next.history_.decode(from);
     }
-    for (std::uint64_t left = from.var(); from.good() && left > 0; --left) next.emptied_.emplace(from.text());
+    for (std::uint64_t remaining = from.var(); from.good() && remaining > 0; --remaining)
+        next.emptied_.emplace(from.text());
     if (!from.good() || !from.empty())
         return absl::DataLossError("a snapshot of configurations is not whole");
     if (!next.json_.empty()) {
         auto read = readConfiguration(next.json_);
         if (!read.ok()) return absl::DataLossError("a snapshot's configuration is not valid");
         next.configuration_ = std::move(*read);
-        if (earlier) next.history_.adopt(identityOf(next.configuration_, next.json_));
+        if (hasShortHashes) next.history_.adopt(identityOf(next.configuration_, next.json_));
     }
     *this = std::move(next);
     return absl::OkStatus();
--- a/src/gateway/configuration/order_history.cpp
+++ b/src/gateway/configuration/order_history.cpp
@@ -11,8 +11,8 @@
     return {hash.low64, hash.high64};
 }
 
-bool OrderHistory::mayComeLater(const OrderIdentity& order, std::uint64_t current) const {
-    // Versions only rise: a base that is passed is never current again.
+bool OrderHistory::baseMayBecomeCurrent(const OrderIdentity& order, std::uint64_t current) const {
+    // Versions only increase: an earlier version never becomes current again.
     return order.builtOn > current;
 }
 
@@ -22,42 +22,43 @@
     if (numberTaken && (faults_.ignoresDigest || before->second == order.digest)) return Verdict::already;
     if (order.version <= order.builtOn) return Verdict::invalid;
     if (numberTaken) return Verdict::stale;
-    if (order.version <= forgottenThrough_) return faults_.forgetsTaken ? Verdict::stale : Verdict::undecided;
+    if (order.version <= lastDroppedVersion_)
+        return faults_.forgetsTaken ? Verdict::stale : Verdict::undecided;
     if (refused_.count(order) != 0) return Verdict::stale;
     if (order.builtOn == current) return Verdict::taken;
     const bool full = refused_.size() >= limits_.refused && !faults_.forgetsRefused;
-    // A refusal that can't be remembered isn't given.
-    if (mayComeLater(order, current) && full) return Verdict::undecided;
+    // An order must not be refused if the refusal cannot be remembered.
+    if (baseMayBecomeCurrent(order, current) && full) return Verdict::undecided;
     return Verdict::stale;
 }
 
 Verdict OrderHistory::decide(const OrderIdentity& order, std::uint64_t current) {
     const Verdict verdict = judge(order, current);
     if (verdict == Verdict::taken) recordTaken(order);
-    if (verdict == Verdict::stale && mayComeLater(order, current) && !faults_.forgetsRefused)
+    if (verdict == Verdict::stale && baseMayBecomeCurrent(order, current) && !faults_.forgetsRefused)
         refused_.insert(order);
     return verdict;
 }
 
 void OrderHistory::recordTaken(const OrderIdentity& order) {
     taken_[order.version] = order.digest;
-    const std::size_t most = faults_.forgetsTaken ? 1 : limits_.taken;
-    while (taken_.size() > most) {
-        forgottenThrough_ = taken_.begin()->first;
+    const std::size_t limit = faults_.forgetsTaken ? 1 : limits_.taken;
+    while (taken_.size() > limit) {
+        lastDroppedVersion_ = taken_.begin()->first;
         taken_.erase(taken_.begin());
     }
-    // Sorted by base: what is built on an earlier version is stale for good without a record.
+    // Sorted by base: orders built on an earlier version stay stale without a record.
     while (!refused_.empty() && refused_.begin()->builtOn < order.version) refused_.erase(refused_.begin());
 }
 
 void OrderHistory::adopt(const OrderIdentity& current) {
     taken_ = {{current.version, current.digest}};
     refused_.clear();
-    forgottenThrough_ = current.version == 0 ? 0 : current.version - 1;
+    lastDroppedVersion_ = current.version == 0 ? 0 : current.version - 1;
 }
 
 void OrderHistory::encode(std::string& out) const {
-    bytes::putVar(out, forgottenThrough_);
+    bytes::putVar(out, lastDroppedVersion_);
     bytes::putVar(out, taken_.size());
     for (const auto& [version, digest] : taken_) {
         bytes::putVar(out, version);
@@ -75,13 +76,13 @@
 
 void OrderHistory::decode(bytes::Reader& from) {
     OrderHistory next(limits_, faults_);
-    next.forgottenThrough_ = from.var();
-    for (std::uint64_t left = from.var(); from.good() && left > 0; --left) {
+    next.lastDroppedVersion_ = from.var();
+    for (std::uint64_t remaining = from.var(); from.good() && remaining > 0; --remaining) {
         const std::uint64_t version = from.var();
         const std::uint64_t low = from.fixed();
         next.taken_[version] = {low, from.fixed()};
     }
-    for (std::uint64_t left = from.var(); from.good() && left > 0; --left) {
+    for (std::uint64_t remaining = from.var(); from.good() && remaining > 0; --remaining) {
         OrderIdentity order;
         order.builtOn = from.var();
         order.version = from.var();
--- a/src/gateway/configuration/order_history.h
+++ b/src/gateway/configuration/order_history.h
@@ -1,8 +1,8 @@
-// Which orders were decided, and how: the memory behind the compare-and-set register of configurations. An
-// order's identity is its version, the version that it is built on, and a digest of its bytes. Each identity
-// is decided at most once, so that the same order sent again gets the same answer: an order that was taken is
-// never refused later, and one that was refused is never taken later. Part of the replicated state: all
-// members decide alike, and snapshots hold it. No I/O.
+// The history of decided orders, which backs the compare-and-set register of configurations. An order is
+// identified by its version, the version that it is built on, and a digest of its bytes. Each identity is
+// decided at most once, so that a repeated order gets the same answer: an accepted order is never refused
+// later, and a refused one is never accepted later. Part of the replicated state: all members reach the same
+// decisions, and snapshots contain it. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +16,15 @@
 
 namespace marldale::configuration {
 
-// 128 bits (XXH3): two orders of one deployment don't meet by accident.
+/// A 128-bit hash (XXH3), which makes accidental collisions within a deployment negligible.
 struct OrderDigest {
     std::uint64_t low = 0, high = 0;
     friend auto operator<=>(const OrderDigest&, const OrderDigest&) = default;
 };
+/// Returns the digest of an order's bytes.
 [[nodiscard]] OrderDigest digestOf(std::string_view bytes);
 
+/// Identifies an order.
 struct OrderIdentity {
     std::uint64_t builtOn = 0;
     std::uint64_t version = 0;
@@ -30,55 +32,62 @@
     friend auto operator<=>(const OrderIdentity&, const OrderIdentity&) = default;
 };
 
+/// The decision on an order.
 enum class Verdict {
-    taken,      // in force now
-    already,    // the very same was taken before
+    taken,      // accepted, in force now
+    already,    // the identical order was accepted before
     stale,      // another version is current
-    invalid,    // it makes no sense whatever is current
-    undecided,  // its record has been dropped: it may have been taken, so it is neither confirmed nor refused
+    invalid,    // inconsistent, whatever version is current
+    undecided,  // its record was dropped: it may have been accepted, so it is neither confirmed nor refused
 };
 
-// Planted by tests and by the simulation. All off in service.
+/// Faults injected by tests and by the simulation; all off in production.
 struct OrderFaults {
-    bool forgetsTaken = false;    // only the newest taken order is known again
-    bool forgetsRefused = false;  // a refused order may be taken later
-    bool ignoresDigest = false;   // a version number alone is the identity
+    bool forgetsTaken = false;    // only the latest accepted order is recognized
+    bool forgetsRefused = false;  // a refused order may be accepted later
+    bool ignoresDigest = false;   // the version number alone identifies an order
 };
 
+/// Decides orders and remembers the decisions.
 class OrderHistory {
 public:
+    /// The maximum numbers of remembered orders.
     struct Limits {
-        std::size_t taken =
-            8192;  // the newest ones; each has 16 bytes and its version, here and in snapshots
-        std::size_t refused = 1024;  // of those that are built on a version which may still come
+        // The latest accepted orders; each takes 16 bytes and its version, in memory and in snapshots.
+        std::size_t taken = 8192;
+        // Refused orders that are built on a version which may still become current.
+        std::size_t refused = 1024;
     };
     OrderHistory() = default;
     explicit OrderHistory(Limits limits, OrderFaults faults = {}) : limits_(limits), faults_(faults) {}
 
-    // What holds for the order where `current` is the version in force (0: none).
+    /// Returns the verdict on the order if `current` is the version in force (0: none).
     [[nodiscard]] Verdict judge(const OrderIdentity& order, std::uint64_t current) const;
-    // The verdict for an order that the log has brought; remembered.
+    /// Decides an order from the log and remembers the verdict.
     Verdict decide(const OrderIdentity& order, std::uint64_t current);
 
-    // For a state whose records don't tell identities: of the orders up to `current`, only that one is known.
+    /// Replaces the history for a state without identities: of the orders up to `current`, only that one is
+    /// known.
     void adopt(const OrderIdentity& current);
 
-    [[nodiscard]] std::size_t takenKept() const { return taken_.size(); }
-    [[nodiscard]] std::size_t refusedKept() const { return refused_.size(); }
+    /// Return the number of remembered orders.
+    [[nodiscard]] std::size_t takenCount() const { return taken_.size(); }
+    [[nodiscard]] std::size_t refusedCount() const { return refused_.size(); }
 
+    /// Appends the encoded history.
     void encode(std::string& out) const;
-    // Reads what `encode` wrote; unchanged, and `from` not good, if that isn't whole.
+    /// Reads an encoded history. If it is incomplete, this history is unchanged and `from` is not good.
     void decode(bytes::Reader& from);
 
 private:
-    [[nodiscard]] bool mayComeLater(const OrderIdentity& order, std::uint64_t current) const;
+    [[nodiscard]] bool baseMayBecomeCurrent(const OrderIdentity& order, std::uint64_t current) const;
     void recordTaken(const OrderIdentity& order);
 
     Limits limits_;
     OrderFaults faults_;
     std::map<std::uint64_t, OrderDigest> taken_;  // by version
-    std::uint64_t forgottenThrough_ = 0;          // the highest version whose record was dropped
-    std::set<OrderIdentity> refused_;             // only those whose base isn't passed yet
+    std::uint64_t lastDroppedVersion_ = 0;        // the highest version whose record was dropped
+    std::set<OrderIdentity> refused_;             // only those whose base may still become current
 };
 
 }  // namespace marldale::configuration
--- a/src/gateway/configuration/schema.cpp
+++ b/src/gateway/configuration/schema.cpp
@@ -55,7 +55,7 @@
     return document;
 }
 
-// ---- By hand ----
+// ---- Handwritten check ----
 
 using rapidjson::Value;
 
@@ -88,18 +88,18 @@
     bool required = false;
 };
 
-// Members that aren't named may be anything.
+// Members that are not listed may have any value.
 template <std::size_t count>
 bool isObjectOf(const Value& value, const Member (&members)[count]) {
     if (!value.IsObject()) return false;
     std::size_t missing = 0;
     bool present[count] = {};
     for (const Member& member : members) missing += member.required ? 1 : 0;
-    for (const auto& given : value.GetObject()) {
-        const std::string_view name = textOf(given.name);
+    for (const auto& actual : value.GetObject()) {
+        const std::string_view name = textOf(actual.name);
         for (std::size_t at = 0; at < count; ++at) {
             if (members[at].name != name) continue;
-            if (!members[at].check(given.value)) return false;
+            if (!members[at].check(actual.value)) return false;
             if (members[at].required && !present[at]) --missing;
             present[at] = true;
             break;
--- a/src/gateway/configuration/schema.h
+++ b/src/gateway/configuration/schema.h
@@ -1,6 +1,6 @@
-// The schema of a configuration's JSON text, in two forms that give the same verdict: a check written by
-// hand, which costs some percent of reading the text, and RapidJSON's validator over the schema as text,
-// which tells where a refused text breaks it. No I/O.
+// The schema of a configuration's JSON text, in two equivalent forms: a handwritten check, which costs a few
+// percent of the time for parsing the text, and RapidJSON's validator with a JSON schema, which reports where
+// an invalid text violates it. No I/O.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -9,11 +9,11 @@
 
 namespace marldale::configuration {
 
-/// Whether a configuration may look like this.
+/// Returns whether the document matches the schema, by the handwritten check.
 [[nodiscard]] bool matchesSchema(const rapidjson::Value& document);
 
-/// The same verdict by RapidJSON's validator: nothing where the document matches, else the place and the rule
-/// that it breaks.
+/// Checks the document by RapidJSON's validator. Returns an empty string if it matches, otherwise the
+/// location and the violated rule.
 [[nodiscard]] std::string schemaViolation(const rapidjson::Value& document);
 
 }  // namespace marldale::configuration
--- a/src/gateway/controller/status.cpp
+++ b/src/gateway/controller/status.cpp
@@ -95,7 +95,7 @@
         json.Key("emptying");
         json.Bool(server.report.emptying());
         json.Key("heard_ago_us");
-        json.Int64(now - server.heardAt);
+        json.Int64(now - server.reportedAt);
         json.Key("cold_left_us");
         json.Int64(registry_.coldLeft(server, now));
         json.EndObject();
--- a/src/gateway/distribution/configuration_resources.cpp
+++ b/src/gateway/distribution/configuration_resources.cpp
@@ -18,20 +18,20 @@
 std::string zoneKey(const std::string& zone) { return "z " + zone; }
 constexpr const char* kLimitsKey = "l";
 
-bool sameBudget(const proto::BudgetResource& one, const proto::BudgetResource& other) {
-    return one.per_request() == other.per_request() && one.per_s() == other.per_s() &&
-           one.burst() == other.burst();
+bool equalBudgets(const proto::BudgetResource& left, const proto::BudgetResource& right) {
+    return left.per_request() == right.per_request() && left.per_s() == right.per_s() &&
+           left.burst() == right.burst();
 }
 
 }  // namespace
 
 DesiredResource desiredResourceOf(proto::Resource resource, bool urgent, std::uint64_t seed) {
     const std::string text = resource.SerializeAsString();
-    DesiredResource wanted;
-    wanted.hash = XXH3_64bits_withSeed(text.data(), text.size(), seed) | 1U;
-    wanted.line = std::move(resource);
-    wanted.urgent = urgent;
-    return wanted;
+    DesiredResource desired;
+    desired.hash = XXH3_64bits_withSeed(text.data(), text.size(), seed) | 1U;
+    desired.resource = std::move(resource);
+    desired.urgent = urgent;
+    return desired;
 }
 
 std::vector<ServiceSpec> serviceSpecsOf(const configuration::Configuration& configuration) {
@@ -42,20 +42,22 @@
         spec.warmUp = service.warm_up();
     }
     for (const proto::RouteResource& route : configuration.routes) {
-        const auto k = static_cast<std::size_t>(route.kind());
+        const auto kind = static_cast<std::size_t>(route.kind());
         for (const proto::Share& share : route.shares()) {
             ServiceSpec& spec = specs[share.service()];
-            spec.aim[k] = spec.aim[k] == 0 ? route.target() : std::min(spec.aim[k], route.target());
-            spec.giveUp[k] = std::max(spec.giveUp[k], route.give_up());
-            spec.rank[k] = spec.rank[k] == 0 ? route.rank() : std::min(spec.rank[k], route.rank());
+            spec.latencyTarget[kind] = spec.latencyTarget[kind] == 0
+                                           ? route.target()
+                                           : std::min(spec.latencyTarget[kind], route.target());
+            spec.giveUp[kind] = std::max(spec.giveUp[kind], route.give_up());
+            spec.rank[kind] = spec.rank[kind] == 0 ? route.rank() : std::min(spec.rank[kind], route.rank());
         }
     }
-    std::vector<ServiceSpec> all;
-    for (auto& [name, spec] : specs) all.push_back(std::move(spec));
-    return all;
+    std::vector<ServiceSpec> result;
+    for (auto& [name, spec] : specs) result.push_back(std::move(spec));
+    return result;
 }
 
-void ConfigurationResources::followServices(const Source& source, bool budgetChanged,
+void ConfigurationResources::updateServices(const Source& source, bool budgetChanged,
                                             const std::vector<const proto::ServiceResource*>& put) {
     for (const proto::ServiceResource* service : put) {
         proto::Resource resource;
@@ -75,28 +77,28 @@
     for (const proto::ServiceResource* service : put) putBudget(service->name());
 }
 
-bool ConfigurationResources::followZones(const std::set<std::string>& emptied) {
-    if (emptied == emptied_) return false;
+bool ConfigurationResources::updateZones(const std::set<std::string>& emptied) {
+    if (emptied == emptiedZones_) return false;
     for (const std::string& zone : emptied) {
-        if (emptied_.count(zone) != 0) continue;
+        if (emptiedZones_.count(zone) != 0) continue;
         proto::Resource resource;
         resource.set_zone_empty(zone);
         distributor_.put(zoneKey(zone), desiredResourceOf(std::move(resource), true));
     }
-    for (const std::string& zone : emptied_) {
+    for (const std::string& zone : emptiedZones_) {
         if (emptied.count(zone) == 0) distributor_.remove(zoneKey(zone));
     }
-    emptied_ = emptied;
+    emptiedZones_ = emptied;
     return true;
 }
 
 ConfigurationResources::Changed ConfigurationResources::update(const Source& source) {
-    const auto difference = configuration::differenceOf(followed_, source.configuration);
+    const auto difference = configuration::differenceOf(configuration_, source.configuration);
     Changed changed;
-    changed.serviceNames = difference.servicesNamedAnew;
+    changed.serviceNames = difference.serviceNamesChanged;
     changed.services = !difference.servicesPut.empty() || !difference.servicesRemoved.empty();
-    changed.budget = !sameBudget(budget_, source.budget);
-    followServices(source, changed.budget, difference.servicesPut);
+    changed.budget = !equalBudgets(budget_, source.budget);
+    updateServices(source, changed.budget, difference.servicesPut);
     for (const proto::ServiceResource* service : difference.servicesRemoved) {
         distributor_.remove(serviceKey(service->name()));
         distributor_.remove(budgetKey(service->name()));
@@ -107,14 +109,14 @@
         distributor_.put(routeKey(*route), desiredResourceOf(std::move(resource), false));
     }
     for (const proto::RouteResource* route : difference.routesRemoved) distributor_.remove(routeKey(*route));
-    if (source.anyChange && (difference.limitsChanged || !limitsPut_)) {
+    if (source.anyChange && (difference.limitsChanged || !limitsDistributed_)) {
         proto::Resource resource;
         *resource.mutable_limits() = source.configuration.limits;
         distributor_.put(kLimitsKey, desiredResourceOf(std::move(resource), false));
-        limitsPut_ = true;
+        limitsDistributed_ = true;
     }
-    changed.emptiedZones = followZones(source.emptiedZones);
-    followed_ = source.configuration;
+    changed.emptiedZones = updateZones(source.emptiedZones);
+    configuration_ = source.configuration;
     budget_ = source.budget;
     return changed;
 }
--- a/src/gateway/distribution/distribution_barrier.h
+++ b/src/gateway/distribution/distribution_barrier.h
@@ -1,5 +1,5 @@
-// Waits until no edge proxy of a controller acts on a view from before a turn of distribution: each has put
-// into force what the turn sent it, or its lease on the older view has run out. No I/O; time is a parameter,
+// Waits until no edge proxy of a controller acts on a view from before a given distribution turn: each proxy
+// has applied what the turn sent it, or its lease on the older view has expired. No I/O; time is a parameter,
 // in microseconds of one steady clock.
 #pragma once
 
@@ -12,22 +12,24 @@
 
 namespace marldale::distribution {
 
+/// Calls back once all proxies have moved past a distribution turn.
 class DistributionBarrier {
 public:
     using Turn = std::uint64_t;
     static constexpr Turn kNoTurn = UINT64_MAX;
 
-    /// `lease`: so long after the last word of its controller a proxy may act on its view
+    /// `lease`: how long a proxy may act on its view after the last message from its controller
     /// (settings::viewLease).
     explicit DistributionBarrier(Micros lease) : lease_(lease) {}
 
-    /// Calls `then` once all proxies have passed this turn, from the next `update` on. It is never called if
-    /// that takes over twice the lease, as where the turn's frames don't leave.
-    void wait(Turn turn, Micros now, std::function<void()> then);
-    /// To be called after each turn and each answer. `sent`: all frames up to this turn have left.
-    /// `unanswered`: the oldest turn that a proxy was sent and has not answered; kNoTurn if there is none.
+    /// Calls `callback` once all proxies have passed this turn, at the next `update` at the earliest. The
+    /// callback is dropped if this takes longer than twice the lease, for example if the turn's frames are
+    /// never sent.
+    void wait(Turn turn, Micros now, std::function<void()> callback);
+    /// Must be called after each turn and each acknowledgement. `sent`: all frames up to this turn have been
+    /// sent. `unanswered`: the oldest turn that some proxy has not acknowledged; kNoTurn if there is none.
     void update(Micros now, Turn sent, Turn unanswered);
-    /// When a lease runs out that is waited for; INT64_MAX where none is.
+    /// Returns when the next awaited lease expires; INT64_MAX if none is awaited.
     [[nodiscard]] Micros nextDue() const;
 
 private:
@@ -36,15 +38,15 @@
         Micros at = 0;
     };
     struct Waiting {
-        Micros until = 0;
-        std::function<void()> then;
+        Micros deadline = 0;
+        std::function<void()> callback;
     };
-    void noteSent(Micros now, Turn sent);
+    void recordSent(Micros now, Turn sent);
 
     Micros lease_;
-    std::deque<Sent> sent_;  // within the last lease, by turn
+    std::deque<Sent> sent_;  // turns sent within the last lease duration, in order
     Turn lastSent_ = 0;
-    Turn leaseOver_ = 0;  // leases on views from before this turn have run out
+    Turn lastExpired_ = 0;  // leases on views from before this turn have expired
     std::multimap<Turn, Waiting> waiting_;
 };
 
--- a/src/gateway/distribution/distribution_loop.h
+++ b/src/gateway/distribution/distribution_loop.h
@@ -1,5 +1,5 @@
-// Distribution beside the other work of an event loop: in slices that end soon, behind whatever the loop has
-// ready. No I/O; the host has the loop, the clock and the links.
+// Runs distribution alongside the other work of an event loop, in short slices that are queued behind the
+// work that is already ready. No I/O; the host provides the event loop, the clock and the links.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,7 @@
 
 namespace marldale::distribution {
 
-/// What the loop of distribution needs of the process that runs it.
+/// What the distribution loop needs from the process that runs it.
 class DistributionHost {
 public:
     DistributionHost() = default;
@@ -17,19 +17,26 @@
     DistributionHost& operator=(const DistributionHost&) = delete;
     virtual ~DistributionHost() = default;
 
+    /// Returns the current time of a steady clock.
     [[nodiscard]] virtual Micros now() const = 0;
-    /// Runs a step later, after what the event loop has ready now.
+    /// Queues a step behind the work that the event loop has ready now.
     virtual void post(std::function<void()> step) = 0;
-    /// Heartbeats and the log's timers go before distribution: when the next is due, and running those due.
+    /// Returns when the next timer is due. Heartbeats and the replicated log's timers have priority over
+    /// distribution.
     [[nodiscard]] virtual Micros timersDue() const = 0;
+    /// Runs the timers that are due.
     virtual void runTimers() = 0;
-    /// Puts into the outbox what goes out now, of resources; and of the decision modules.
+    /// Adds the resource frames of one distribution turn to the outbox.
     virtual void distribute(Micros now) = 0;
+    /// Returns when the next planner turn is due.
     [[nodiscard]] virtual Micros modulesDue() const = 0;
+    /// Runs the planners that are due and adds their frames to the outbox.
     virtual void runModules(Micros now) = 0;
+    /// Sends a frame on the link to its proxy.
     virtual void send(const OutgoingFrame& frame) = 0;
 };
 
+/// Schedules distribution turns and planner turns and sends their frames in slices.
 class DistributionLoop {
 public:
     DistributionLoop(DistributionHost& host, Micros apply, Outbox::Slice slice = {})
@@ -38,8 +45,8 @@
     DistributionSchedule schedule;
     Outbox outbox;
 
-    /// Posts a slice where there is something to do and none is posted. To be called after each change of the
-    /// schedule, the outbox or what the modules know.
+    /// Posts a slice if there is work to do and no slice is posted yet. Must be called after each change of
+    /// the schedule, the outbox or the input of the planners.
     void wake() {
         if (posted_ || !ready()) return;
         posted_ = true;
@@ -49,18 +56,18 @@
             wake();
         });
     }
-    /// When the loop has to be woken at the latest.
+    /// Returns the latest time at which the loop has to be woken.
     [[nodiscard]] Micros nextDue() const { return std::min(schedule.nextDue(), host_.modulesDue()); }
 
 private:
     [[nodiscard]] bool ready() const { return !outbox.empty() || nextDue() <= host_.now(); }
     void runSlice() {
         if (host_.now() >= host_.timersDue()) host_.runTimers();
-        // A new turn only once the last one's frames are out: what changes meanwhile merges, and a proxy's
-        // frames keep their order.
+        // A new turn starts only after the previous turn's frames have been sent, so that changes in the
+        // meantime are merged and frames to a proxy stay in order.
         const Micros now = host_.now();
         if (outbox.empty() && schedule.due(now)) {
-            schedule.ran(now);
+            schedule.recordTurn(now);
             host_.distribute(now);
         } else if (outbox.empty() && host_.modulesDue() <= now) {
             host_.runModules(now);
--- a/src/gateway/distribution/distribution_schedule.h
+++ b/src/gateway/distribution/distribution_schedule.h
@@ -1,5 +1,5 @@
-// When a controller distributes: at once where it has been idle, else once in an interval, so that changes
-// which come in quick succession go out as one difference. No I/O.
+// Decides when a controller runs a distribution turn: immediately after an idle period, otherwise once per
+// interval, so that changes in quick succession are sent as one difference. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -9,34 +9,38 @@
 
 namespace marldale::distribution {
 
+/// Rate limits distribution turns.
 class DistributionSchedule {
 public:
-    /// `apply`: within this time a change is in force at every proxy.
-    explicit DistributionSchedule(Micros apply) : interval_(apply / kTurnsWithinApply) {}
+    /// `apply`: the time within which a change has to be in force at every proxy.
+    explicit DistributionSchedule(Micros apply) : interval_(apply / kTurnsPerApplyTime) {}
 
-    /// Something is to go out.
+    /// Requests a turn for a normal change.
     void request(Micros now) { due_ = std::min(due_, std::max(now, lastTurn_ + interval_)); }
-    /// Something is to go out that waits for nothing but those that come with it: a server that may get no
-    /// more requests.
+    /// Requests a turn for an urgent change, such as a server that must not get any more requests. It is
+    /// delayed only to merge urgent changes that arrive together.
     void requestUrgent(Micros now) {
-        due_ = std::min(due_, std::max(now, lastTurn_ + interval_ / kUrgentTurnsInInterval));
+        due_ = std::min(due_, std::max(now, lastTurn_ + interval_ / kUrgentTurnsPerInterval));
     }
-    /// A turn is wanted then.
+    /// Requests a turn at the given time.
     void requestAt(Micros due) { due_ = std::min(due_, due); }
+    /// Returns whether a turn is due.
     [[nodiscard]] bool due(Micros now) const { return now >= due_; }
-    /// The time of the next turn; INT64_MAX where nothing is to go out.
+    /// Returns the time of the next turn; INT64_MAX if none is requested.
     [[nodiscard]] Micros nextDue() const { return due_; }
-    /// A turn takes all that was requested before it.
-    void ran(Micros now) {
+    /// Records that a turn ran; it covers all earlier requests.
+    void recordTurn(Micros now) {
         due_ = INT64_MAX;
         lastTurn_ = now;
     }
+    /// Returns the interval between turns under load.
     [[nodiscard]] Micros interval() const { return interval_; }
 
 private:
-    // A mark is answered within a fraction of `apply`, and what waited for it goes out one interval later.
-    static constexpr Micros kTurnsWithinApply = 20;
-    static constexpr Micros kUrgentTurnsInInterval = 5;
+    // An acknowledgement arrives within a fraction of `apply`, and changes that waited for it are sent one
+    // interval later.
+    static constexpr Micros kTurnsPerApplyTime = 20;
+    static constexpr Micros kUrgentTurnsPerInterval = 5;
 
     Micros interval_;
     Micros due_ = INT64_MAX;
--- a/src/gateway/distribution/outbox.h
+++ b/src/gateway/distribution/outbox.h
@@ -1,5 +1,5 @@
-// Frames on their way to proxies, sent in slices so that a loop gets to its other work in between. Frames to
-// one proxy keep their order. No I/O.
+// A queue of frames to proxies, sent in slices so that the event loop can do other work in between. Frames to
+// one proxy stay in order. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,27 +13,32 @@
 
 namespace marldale::distribution {
 
-/// The bytes of a frame, shared by all whom it goes to.
+/// The bytes of a frame, shared between all its recipients.
 using SharedFrame = std::shared_ptr<const std::string>;
 
+/// A frame to one proxy.
 struct OutgoingFrame {
     ProxyId proxy = 0;
     SharedFrame bytes;
-    std::uint64_t index = 0;  // of the configuration that the proxy holds after it; 0: as before
+    std::uint64_t index = 0;  // of the configuration that the proxy holds after this frame; 0: unchanged
 };
 
+/// A first-in, first-out queue of outgoing frames.
 class Outbox {
 public:
-    /// How much of the loop's time one slice may take.
+    /// The limits of one slice.
     struct Slice {
         Micros time = 2000;
         std::size_t frames = 16;
     };
+    /// Appends a frame.
     void add(OutgoingFrame frame) { frames_.push_back(std::move(frame)); }
+    /// Returns whether no frame is queued.
     [[nodiscard]] bool empty() const { return frames_.empty(); }
+    /// Returns the number of queued frames.
     [[nodiscard]] std::size_t size() const { return frames_.size(); }
-    /// Sends frames until the slice is used up, one at least; the clock is read after each. Says whether more
-    /// are waiting.
+    /// Sends frames until the slice is used up, but at least one; reads the clock after each. Returns whether
+    /// more frames are queued.
     template <class Send, class Clock>
     bool sendSlice(const Slice& slice, Send send, Clock clock) {
         const Micros end = clock() + slice.time;
--- a/src/gateway/distribution/resource_distributor.cpp
+++ b/src/gateway/distribution/resource_distributor.cpp
@@ -5,8 +5,8 @@
 
 constexpr TableId kNoTable = 0;  // tables are numbered from 1
 
-// The line that takes back what a key stands for; none for those that stay as they are.
-proto::Resource dropOf(const std::string& key) {
+// Returns the resource that revokes the key; an empty one if the key is never revoked.
+proto::Resource revocationOf(const std::string& key) {
     proto::Resource out;
     switch (key[0]) {
         case 'r': out.set_route_drop(key.substr(2)); break;
@@ -18,25 +18,25 @@
     return out;
 }
 
-void append(std::vector<proto::Resource>& lines, const std::string& key, const DesiredResource* wanted) {
-    if (wanted != nullptr) {
-        lines.push_back(wanted->line);
+void append(std::vector<proto::Resource>& lines, const std::string& key, const DesiredResource* desired) {
+    if (desired != nullptr) {
+        lines.push_back(desired->resource);
         return;
     }
-    proto::Resource drop = dropOf(key);
-    if (drop.what_case() != proto::Resource::WHAT_NOT_SET) lines.push_back(std::move(drop));
+    proto::Resource revocation = revocationOf(key);
+    if (revocation.what_case() != proto::Resource::WHAT_NOT_SET) lines.push_back(std::move(revocation));
 }
 
 }  // namespace
 
-// ---- The port ----
+// ---- Port of the distribution algorithm ----
 
 double ResourceDistributor::Port::priority(const std::string& /*zone*/, const std::string& key,
                                            const DesiredResource* now, Hash /*held*/) const {
-    // Servers that go and zones that are emptied or filled do not wait for the slowest proxy.
+    // Removed servers and emptied or refilled zones do not wait for the slowest proxy.
     const bool urgent = now != nullptr ? now->urgent : key[0] == 'v' || key[0] == 'z';
     if (urgent) return policy::kUrgentPriority;
-    return key[0] == 'v' ? 0 : 1;  // the zones' words before their servers'
+    return key[0] == 'v' ? 0 : 1;  // other resources before servers
 }
 
 void ResourceDistributor::Port::line(TableId table, const std::string& key,
@@ -52,11 +52,11 @@
 }
 
 void ResourceDistributor::Port::bind(ProxyId proxy, TableId table) const {
-    // It is sent what differs from what it has been sent already, be it another copy of the same.
+    // The proxy is sent the difference to what it was sent before, even if that is another copy of the table.
     const auto& tables = distributor.tables_.tables;
-    const auto held = distributor.holding_.find(proxy);
-    const TableId from = held == distributor.holding_.end() ? kNoTable : held->second;
-    distributor.holding_[proxy] = table;
+    const auto held = distributor.heldTables_.find(proxy);
+    const TableId from = held == distributor.heldTables_.end() ? kNoTable : held->second;
+    distributor.heldTables_[proxy] = table;
     auto part = distributor.bindParts_.find({from, table});
     if (part == distributor.bindParts_.end()) {
         const auto* before = from == kNoTable ? nullptr : &tables.at(from);
@@ -67,28 +67,28 @@
 }
 
 void ResourceDistributor::Port::wrote(ProxyId proxy, double /*lines*/) const {
-    distributor.outgoing_[proxy];  // it gets the mark, with whatever lines
+    distributor.outgoing_[proxy];  // makes sure that the proxy gets the mark, even without resources
 }
 
 // ---- Tables ----
 
-void ResourceDistributor::Tables::pushChanged(TableId id, Table& table) {
+void ResourceDistributor::Tables::pushChanges(TableId id, Table& table) {
     const ResourceDistributor& distributor = port.distributor;
     ChangeNumber& position = positions.at(id);
     if (position == distributor.journal_.last()) return;
     std::vector<Change> changes;
     std::vector<std::string> removed;
-    const auto add = [&](const std::string& key, const DesiredResource* wanted) {
+    const auto add = [&](const std::string& key, const DesiredResource* desired) {
         const Hash held = table.held(key);
-        const Hash now = wanted == nullptr ? 0 : wanted->hash;
-        if (held != now) changes.push_back({port.priority(table.scope, key, wanted, held), key, wanted});
+        const Hash now = desired == nullptr ? 0 : desired->hash;
+        if (held != now) changes.push_back({port.priority(table.scope, key, desired, held), key, desired});
     };
     for (const std::string& key : distributor.journal_.changedAfter(position)) {
-        const auto wanted = distributor.wanted_.find(key);
-        if (wanted == distributor.wanted_.end()) {
+        const auto desired = distributor.desired_.find(key);
+        if (desired == distributor.desired_.end()) {
             removed.push_back(key);
         } else {
-            add(key, &wanted->second);
+            add(key, &desired->second);
         }
     }
     for (const std::string& key : removed) add(key, nullptr);
@@ -111,38 +111,38 @@
 }
 
 void ResourceDistributor::Tables::run() {
-    settlePositions();
-    for (auto& [id, table] : tables) pushChanged(id, table);
+    updatePositions();
+    for (auto& [id, table] : tables) pushChanges(id, table);
     releaseSilent();
     foldCopies();
-    settlePositions();
+    updatePositions();
 }
 
-// A table without a position was made in this turn, from all that is wanted.
-void ResourceDistributor::Tables::settlePositions() {
+// Sets the position of tables that were created in this turn, which contain all desired resources.
+void ResourceDistributor::Tables::updatePositions() {
     std::erase_if(positions, [&](const auto& position) { return tables.count(position.first) == 0; });
     for (const auto& [id, table] : tables) positions.try_emplace(id, port.distributor.journal_.last());
 }
 
 // ---- The distributor ----
 
-bool ResourceDistributor::put(const std::string& key, DesiredResource wanted) {
-    DesiredResource& present = wanted_[key];
-    const bool differs = present.hash != wanted.hash;
-    present = std::move(wanted);
+bool ResourceDistributor::put(const std::string& key, DesiredResource desired) {
+    DesiredResource& present = desired_[key];
+    const bool differs = present.hash != desired.hash;
+    present = std::move(desired);
     if (differs) journal_.record(key);
     return differs;
 }
 
 void ResourceDistributor::remove(const std::string& key) {
-    if (wanted_.erase(key) > 0) journal_.record(key);
+    if (desired_.erase(key) > 0) journal_.record(key);
 }
 
-void ResourceDistributor::join(ProxyId proxy, const std::string& zone) { joining_[proxy] = zone; }
+void ResourceDistributor::join(ProxyId proxy, const std::string& zone) { joiningProxies_[proxy] = zone; }
 
 void ResourceDistributor::leave(ProxyId proxy) {
-    joining_.erase(proxy);
-    holding_.erase(proxy);
+    joiningProxies_.erase(proxy);
+    heldTables_.erase(proxy);
     if (tables_.proxyStates.count(proxy) != 0) tables_.leave(proxy);
 }
 
@@ -153,13 +153,13 @@
     return parts_.size() - 1;
 }
 
-// What has to be sent to whoever holds what `from` says (null: nothing), so that it holds what `to` says.
+// Returns what to send to a proxy that holds `from` (null: nothing) so that it holds `to`.
 std::vector<proto::Resource> ResourceDistributor::difference(const Tables::Table* from,
                                                              const Tables::Table& to) const {
     std::vector<proto::Resource> lines;
-    for (const auto& [key, wanted] : wanted_) {
+    for (const auto& [key, desired] : desired_) {
         const Hash held = from == nullptr ? 0 : from->held(key);
-        if (to.held(key) != 0 && to.held(key) != held) append(lines, key, &wanted);
+        if (to.held(key) != 0 && to.held(key) != held) append(lines, key, &desired);
     }
     if (from == nullptr) return lines;
     struct Content {
@@ -173,14 +173,14 @@
 std::vector<ResourceDistributor::Batch> ResourceDistributor::batches() {
     std::map<std::tuple<bool, bool, std::vector<PartNumber>>, std::vector<ProxyId>> groups;
     for (const auto& [proxy, parts] : outgoing_) {
-        const bool fresh = joining_.count(proxy) != 0;
-        const bool whole = tables_.positions.at(holding_.at(proxy)) == journal_.last();
-        groups[{fresh, whole, parts}].push_back(proxy);
+        const bool fresh = joiningProxies_.count(proxy) != 0;
+        const bool complete = tables_.positions.at(heldTables_.at(proxy)) == journal_.last();
+        groups[{fresh, complete, parts}].push_back(proxy);
     }
     std::vector<Batch> out;
     for (auto& [what, proxies] : groups) {
-        const auto& [fresh, whole, parts] = what;
-        Batch batch{tables_.turn, fresh, whole, {}, std::move(proxies)};
+        const auto& [fresh, complete, parts] = what;
+        Batch batch{tables_.turn, fresh, complete, {}, std::move(proxies)};
         for (const PartNumber part : parts)
             batch.lines.insert(batch.lines.end(), parts_[part].begin(), parts_[part].end());
         out.push_back(std::move(batch));
@@ -196,18 +196,19 @@
     tables_.now = now;
     ++tables_.turn;
     std::map<std::string, std::set<ProxyId>> fresh;  // by zone
-    for (const auto& [proxy, zone] : joining_) {
+    for (const auto& [proxy, zone] : joiningProxies_) {
         tables_.proxyStates[proxy];
-        holding_.erase(proxy);
+        heldTables_.erase(proxy);
         fresh[zone].insert(proxy);
     }
     for (const auto& [zone, proxies] : fresh) tables_.bindFresh(proxies, zone, false);
     tables_.run();
     std::vector<Batch> out = batches();
-    joining_.clear();
-    ChangeNumber followed = journal_.last();
-    for (const auto& [table, position] : tables_.positions) followed = std::min(followed, position);
-    journal_.trim(followed);
+    joiningProxies_.clear();
+    ChangeNumber oldestPosition = journal_.last();
+    for (const auto& [table, position] : tables_.positions)
+        oldestPosition = std::min(oldestPosition, position);
+    journal_.trim(oldestPosition);
     return out;
 }
 
@@ -215,9 +216,9 @@
     Micros due = INT64_MAX;
     for (const auto& [id, table] : tables_.tables) {
         if (!table.unacknowledged.empty()) {
-            due = std::min(due, table.markedAt + kTimeout);
+            due = std::min(due, table.markedAt + kAcknowledgementTimeoutUs);
         } else if (tables_.positions.at(id) != journal_.last()) {
-            due = std::min(due, tables_.now);  // its wait has just ended
+            due = std::min(due, tables_.now);  // its last mark has just been acknowledged
         }
     }
     return due;
@@ -225,8 +226,8 @@
 
 std::optional<std::uint64_t> ResourceDistributor::oldestUnanswered() const {
     std::optional<std::uint64_t> oldest;
-    for (const auto& [proxy, seat] : tables_.proxyStates) {
-        if (!seat.marks.empty() && (!oldest || seat.marks.front() < *oldest)) oldest = seat.marks.front();
+    for (const auto& [proxy, state] : tables_.proxyStates) {
+        if (!state.marks.empty() && (!oldest || state.marks.front() < *oldest)) oldest = state.marks.front();
     }
     return oldest;
 }
--- a/src/gateway/distribution/resource_distributor.h
+++ b/src/gateway/distribution/resource_distributor.h
@@ -1,8 +1,8 @@
-// What the proxies of this controller hold of the configuration and of the servers, and what goes to them
-// next: the module's distribution (docs/design.md, 1 to 6) over resources with names. Each zone shares one
-// table; proxies that join, and those silent past the timeout, get a fresh marked copy. A push looks only at
-// what a journal says has changed since the table's last push; all hashes are compared for fresh copies and
-// binds alone. No I/O.
+// Tracks which configuration and server resources the proxies of this controller hold, and determines what to
+// send next. Applies the distribution algorithm of the policy (docs/design.md, 1 to 6) to named resources.
+// The proxies of a zone share one table; proxies that join, and those that do not acknowledge within the
+// timeout, get a fresh marked copy. A push considers only the keys that a journal lists as changed since the
+// table's last push; all hashes are compared only for fresh copies and binds. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -23,55 +23,59 @@
 
 /// A resource that every proxy should hold.
 struct DesiredResource {
-    Hash hash = 0;  // never 0
-    proto::Resource line;
-    bool urgent = false;  // it skips the wait
+    Hash hash = 0;  // never 0 once set
+    proto::Resource resource;
+    bool urgent = false;  // sent without waiting for outstanding acknowledgements
 };
 
+/// Determines what each proxy is sent so that it holds all desired resources.
 class ResourceDistributor {
 public:
     ResourceDistributor() = default;
     ResourceDistributor(const ResourceDistributor&) = delete;
     ResourceDistributor& operator=(const ResourceDistributor&) = delete;
 
-    /// Everyone should hold this from now on. Keys: "r host path" routes, "s name" services, "b name"
-    /// budgets, "l" limits, "z zone" emptied zones, "v id" servers, "x id" servers that nobody may hold. Says
-    /// whether it differs from what was wanted before.
-    bool put(const std::string& key, DesiredResource wanted);
-    /// Nobody should hold this any more.
+    /// Sets the resource that every proxy should hold under the key. Keys: "r host path" routes, "s name"
+    /// services, "b name" budgets, "l" limits, "z zone" emptied zones, "v id" servers, "x id" servers that
+    /// no proxy may hold. Returns whether the resource differs from the previous one.
+    bool put(const std::string& key, DesiredResource desired);
+    /// Removes the resource: no proxy should hold it any more.
     void remove(const std::string& key);
-    [[nodiscard]] const std::map<std::string, DesiredResource>& desired() const { return wanted_; }
+    /// Returns all resources that every proxy should hold, by key.
+    [[nodiscard]] const std::map<std::string, DesiredResource>& desired() const { return desired_; }
 
-    /// The proxy gets all that is wanted, in the next turn, whatever it was sent before.
+    /// Adds a proxy, which is sent all desired resources in the next turn, whatever it was sent before.
     void join(ProxyId proxy, const std::string& zone);
+    /// Removes a proxy.
     void leave(ProxyId proxy);
-    /// The proxy has put into force what it was sent under this mark.
+    /// Records that the proxy has applied what it was sent under this mark.
     void answered(ProxyId proxy, std::uint64_t mark);
 
-    /// What goes out once, the same to several proxies.
+    /// Resources that are sent identically to one or more proxies.
     struct Batch {
         std::uint64_t mark = 0;
-        bool fresh = false;     // all that is wanted
-        bool complete = false;  // after it the proxies hold all that is wanted
+        bool fresh = false;     // a full copy
+        bool complete = false;  // afterwards the proxies hold all desired resources
         std::vector<proto::Resource> lines;
         std::vector<ProxyId> proxies;
     };
-    /// What goes out now. A proxy is in one batch at most.
+    /// Runs a turn and returns what to send now. A proxy is in at most one batch.
     [[nodiscard]] std::vector<Batch> turn(Micros now);
-    /// When the next turn has something to send without a further change or answer: at the end of the wait
-    /// for a silent proxy. INT64_MAX where nothing waits.
+    /// Returns when the next turn has something to send without a further change or acknowledgement, which is
+    /// when the timeout of an unresponsive proxy ends. INT64_MAX if nothing is waiting.
     [[nodiscard]] Micros nextDue() const;
-    /// The number of the last turn, and of the oldest one that some proxy was sent and has not answered.
+    /// Returns the number of the last turn.
     [[nodiscard]] std::uint64_t lastTurn() const { return tables_.turn; }
+    /// Returns the oldest turn that some proxy was sent and has not acknowledged.
     [[nodiscard]] std::optional<std::uint64_t> oldestUnanswered() const;
-    /// Whether a proxy has been sent something that it has not answered.
+    /// Returns whether the proxy has been sent something that it has not acknowledged.
     [[nodiscard]] bool unanswered(ProxyId proxy) const;
 
 private:
     struct Port {
         ResourceDistributor& distributor;
         const std::map<std::string, DesiredResource>& wanted(const std::string& /*zone*/) const {
-            return distributor.wanted_;
+            return distributor.desired_;
         }
         static Hash hash(const DesiredResource& line) { return line.hash; }
         [[nodiscard]] double priority(const std::string& zone, const std::string& key,
@@ -79,7 +83,7 @@
         static std::size_t slot(const std::string& /*zone*/) { return 0; }
         static double lineBudget(std::size_t /*proxies*/, bool /*urgent*/) {
             return 1e9;
-        }  // links are wide: nothing waits for room
+        }  // links have enough bandwidth: pushes are not limited
         static bool mayWrite(const std::set<ProxyId>& /*proxies*/, double /*lines*/, bool /*urgent*/) {
             return true;
         }
@@ -90,40 +94,40 @@
         void wrote(ProxyId proxy, double lines) const;
     };
     using FullComparison = policy::Distribution<std::string, DesiredResource, std::string, ProxyId, Port>;
-    // The module's distribution, but for pushes to a table whose position in the journal is known: these
-    // look at what has changed since and at nothing else.
+    // The distribution algorithm of the policy, except that a push to a table with a known position in the
+    // journal considers only the keys that have changed since then.
     struct Tables : FullComparison {
         using FullComparison::FullComparison;
-        void pushChanged(TableId id, Table& table);
+        void pushChanges(TableId id, Table& table);
         void run();
-        void settlePositions();
+        void updatePositions();
 
-        std::map<TableId, ChangeNumber> positions;  // up to which the table was pushed
+        std::map<TableId, ChangeNumber> positions;  // the last change that was pushed to the table
     };
 
-    // Lines that go out in this turn to several proxies.
+    // A list of resources that is sent to several proxies in this turn.
     using PartNumber = std::size_t;
     PartNumber addPart(std::vector<proto::Resource> lines);
     [[nodiscard]] std::vector<proto::Resource> difference(const Tables::Table* from,
                                                           const Tables::Table& to) const;
     [[nodiscard]] std::vector<Batch> batches();
 
-    std::map<std::string, DesiredResource> wanted_;
+    std::map<std::string, DesiredResource> desired_;
     ChangeJournal<std::string> journal_;
     Port port_{*this};
-    Tables tables_{port_, kTimeout, kFold};
-    std::map<ProxyId, std::string> joining_;
-    std::map<ProxyId, TableId> holding_;  // the table that a proxy was sent; without one it holds nothing
+    Tables tables_{port_, kAcknowledgementTimeoutUs, kFoldIntervalUs};
+    std::map<ProxyId, std::string> joiningProxies_;
+    std::map<ProxyId, TableId> heldTables_;  // the last table sent to a proxy; no entry: it holds nothing
 
-    // Of the present turn.
+    // State of the current turn.
     std::vector<std::vector<proto::Resource>> parts_;
     std::map<TableId, PartNumber> pushParts_;
-    std::map<std::pair<TableId, TableId>, PartNumber> bindParts_;  // from (0: nothing) and to
+    std::map<std::pair<TableId, TableId>, PartNumber> bindParts_;  // by source (0: none) and target
     std::map<ProxyId, std::vector<PartNumber>> outgoing_;
 
-    static constexpr Micros kTimeout =
-        500000;  // an unanswered mark holds later changes this long; they are due everywhere in 2 s
-    static constexpr Micros kFold = 2000000;
+    // An unacknowledged mark delays later changes this long; changes are due everywhere within 2 s.
+    static constexpr Micros kAcknowledgementTimeoutUs = 500000;
+    static constexpr Micros kFoldIntervalUs = 2000000;
 };
 
 }  // namespace marldale::distribution
--- a/src/gateway/distribution/steering.cpp
+++ b/src/gateway/distribution/steering.cpp
@@ -6,14 +6,17 @@
 namespace marldale::distribution {
 namespace {
 
-// What the module is told of its surroundings: the channel to proxies is wide (links of the system's own), so
-// it never has to save lines on these deployments.
-constexpr double kChannelLinesPerS = 20000;
-constexpr double kChannelLines = 20000;
-constexpr Micros kSumsEvery = 1000000;
-// What a line of another zone's server counts: bytes between zones are paid for, and large answers have
-// nearly all of them.
-constexpr float kAbroadLarge = 0.1F, kAbroadElse = 0.7F;
+// The links to the proxies belong to the system and have enough bandwidth, so the planner never has to limit
+// the number of table lines that it sends.
+constexpr double kPushLinesPerS = 20000;
+constexpr double kBacklogLines = 20000;
+constexpr Micros kLoadReportIntervalUs = 1000000;
+constexpr Micros kPlannerIntervalUs = 1000000;
+// Without proxies only server lists and departures are kept, and a planner runs after this many events.
+constexpr std::size_t kMaxEventsWithoutProxies = 64;
+// Weight factors for servers of another zone: traffic between zones is paid for, and large responses make up
+// nearly all of it.
+constexpr float kOtherZoneLargeFactor = 0.1F, kOtherZoneFactor = 0.7F;
 constexpr double kColdShare = 0.25, kTipMultiple = 2;
 
 proto::Resource weightLine(const std::string& service, TableId table, const std::string& server,
@@ -52,30 +55,31 @@
     return static_cast<ZoneId>(at == zones_.end() ? 0 : at - zones_.begin());
 }
 
-std::unique_ptr<Planner> Steering::make(const ServiceSpec& spec) const {
+std::unique_ptr<Planner> Steering::makePlanner(const ServiceSpec& spec) const {
     Settings set;
     set.seed = seed_ ^ XXH3_64bits(spec.name.data(), spec.name.size());
     set.zones = static_cast<std::uint32_t>(std::max<std::size_t>(1, zones_.size()));
     set.myZone = zoneOf(zone_);
     set.proxies = static_cast<std::uint32_t>(std::max<std::size_t>(1, proxies_.size()));
-    set.admission = Admission::none;  // caps in flight and short waits at the proxies refuse early; levels
-                                      // went on refusing long after a jam
-    set.pushRate = kChannelLinesPerS;
-    set.backlogLines = kChannelLines;
-    set.reportEvery = kSumsEvery;
+    set.admission = Admission::none;  // The proxies' in-flight limits and short queues reject early enough;
+                                      // admission levels kept rejecting long after an overload.
+    set.pushRate = kPushLinesPerS;
+    set.backlogLines = kBacklogLines;
+    set.reportEvery = kLoadReportIntervalUs;
     set.coldShare = kColdShare;
     set.tipMultiple = kTipMultiple;
     set.warmUp = spec.warmUp;
     for (std::size_t k = 0; k < kKinds; ++k) {
-        ClassSettings c;
-        c.name = std::to_string(k);
-        const Micros any = std::max({spec.aim[0], spec.aim[1], spec.aim[2], Micros{1000}});
-        c.latencyTarget = spec.aim[k] > 0 ? spec.aim[k] : any;
-        c.giveUp = spec.giveUp[k] > 0 ? spec.giveUp[k] : 10 * c.latencyTarget;
-        c.worth = 1.0 / (1 + spec.rank[k]);
-        c.repeat = k == 1 ? Repeat::fragile : Repeat::retryable;
-        c.writes = k == 1;
-        set.classes.push_back(c);
+        ClassSettings classSettings;
+        classSettings.name = std::to_string(k);
+        const Micros fallback =
+            std::max({spec.latencyTarget[0], spec.latencyTarget[1], spec.latencyTarget[2], Micros{1000}});
+        classSettings.latencyTarget = spec.latencyTarget[k] > 0 ? spec.latencyTarget[k] : fallback;
+        classSettings.giveUp = spec.giveUp[k] > 0 ? spec.giveUp[k] : 10 * classSettings.latencyTarget;
+        classSettings.worth = 1.0 / (1 + spec.rank[k]);
+        classSettings.repeat = k == 1 ? Repeat::fragile : Repeat::retryable;
+        classSettings.writes = k == 1;
+        set.classes.push_back(classSettings);
     }
     return std::make_unique<Planner>(std::move(set));
 }
@@ -86,10 +90,10 @@
         named.insert(spec.name);
         const auto [at, fresh] = services_.try_emplace(spec.name);
         Service& service = at->second;
-        if (!fresh)
-            continue;  // what the module has learnt outweighs another aim; it is made anew at a restart
+        // A planner's learned state is worth more than a changed target, which applies after a restart.
+        if (!fresh) continue;
         service.spec = spec;
-        service.planner = make(spec);
+        service.planner = makePlanner(spec);
         for (const auto& [id, proxy] : proxies_)
             service.events.emplace_back(ProxyJoined{id, zoneOf(proxy.zone), proxy.rate, true});
     }
@@ -97,8 +101,8 @@
 }
 
 void Steering::servers(Micros now, const std::vector<ServerSpec>& servers) {
-    std::map<std::string, ServerListUpdate> news;
-    for (auto& [name, service] : services_) news[name];
+    std::map<std::string, ServerListUpdate> updates;
+    for (auto& [name, service] : services_) updates[name];
     for (const ServerSpec& spec : servers) {
         const auto at = services_.find(spec.service);
         if (at == services_.end()) continue;
@@ -108,19 +112,19 @@
         ListEntry entry;
         entry.server = id->second;
         entry.zone = zoneOf(spec.zone);
-        entry.weight = std::max(1U, spec.places);
+        entry.weight = std::max(1U, spec.capacity);
         entry.state = spec.emptying ? ServerState::draining : ServerState::ready;
         if (spec.coldLeft > 0)
             entry.bootTime = std::max<Micros>(1, now + spec.coldLeft - service.spec.warmUp);
-        news[spec.service].entries.push_back(entry);
+        updates[spec.service].entries.push_back(entry);
     }
-    for (auto& [name, list] : news) {
+    for (auto& [name, list] : updates) {
         Service& service = services_.at(name);
-        if (service.listTold && std::equal(service.listed.begin(), service.listed.end(), list.entries.begin(),
-                                           list.entries.end(), sameEntry))
-            continue;  // a module's turn costs far more than this comparison
-        service.listed = list.entries;
-        service.listTold = true;
+        if (service.serverListSent && std::equal(service.serverList.begin(), service.serverList.end(),
+                                                 list.entries.begin(), list.entries.end(), sameEntry))
+            continue;  // a planner turn costs far more than this comparison
+        service.serverList = list.entries;
+        service.serverListSent = true;
         service.events.emplace_back(std::move(list));
     }
 }
@@ -141,35 +145,40 @@
     }
 }
 
-void Steering::recordLoad(ProxyId proxy, const std::string& zone, const proto::LoadReport& sums) {
-    for (const auto& sum : sums.servers()) {
+void Steering::recordLoad(ProxyId proxy, const std::string& zone, const proto::LoadReport& report) {
+    for (const auto& load : report.servers()) {
         for (auto& [name, service] : services_) {
-            const auto id = service.ids.find(sum.server());
+            const auto id = service.ids.find(load.server());
             if (id == service.ids.end()) continue;
-            service.events.emplace_back(ServerStats{
-                id->second, zoneOf(zone), sum.tries(), sum.failed(), sums.period(), sum.mean_time(), {}});
+            service.events.emplace_back(ServerStats{id->second,
+                                                    zoneOf(zone),
+                                                    load.tries(),
+                                                    load.failed(),
+                                                    report.period(),
+                                                    load.mean_time(),
+                                                    {}});
             break;
         }
     }
-    for (const auto& demand : sums.demands()) {
+    for (const auto& demand : report.demands()) {
         const auto at = services_.find(demand.service());
         if (at == services_.end() || demand.klass() >= kKinds) continue;
         at->second.events.emplace_back(ProxyDemand{proxy, static_cast<std::uint16_t>(demand.klass()),
-                                                   demand.came(), demand.failed(), sums.period()});
+                                                   demand.came(), demand.failed(), report.period()});
     }
 }
 
 void Steering::answered(ProxyId proxy, std::uint64_t mark, Micros took) {
     const auto at = proxies_.find(proxy);
     if (at == proxies_.end()) return;
-    const auto meant = at->second.marks.find(mark);
-    if (meant == at->second.marks.end()) return;
-    for (const auto& [name, number] : meant->second) {
+    const auto marked = at->second.marks.find(mark);
+    if (marked == at->second.marks.end()) return;
+    for (const auto& [name, number] : marked->second) {
         const auto service = services_.find(name);
         if (service != services_.end())
             service->second.events.emplace_back(Acknowledged{proxy, number, took});
     }
-    at->second.marks.erase(at->second.marks.begin(), std::next(meant));
+    at->second.marks.erase(at->second.marks.begin(), std::next(marked));
 }
 
 bool Steering::uses(const Service& service, ProxyId proxy, TableId table) {
@@ -183,24 +192,24 @@
         std::erase_if(service.events, [](const Event& e) {
             return !std::holds_alternative<ServerListUpdate>(e) && !std::holds_alternative<ProxyLeft>(e);
         });
-        return service.events.size() >= 64;
+        return service.events.size() >= kMaxEventsWithoutProxies;
     }
     return !service.events.empty() || now >= service.due;
 }
 
-std::vector<Steering::Batch> Steering::turn(Micros now, std::size_t mostModules) {
+std::vector<Steering::Batch> Steering::turn(Micros now, std::size_t maxPlanners) {
     std::map<ProxyId, Batch> out;
     std::map<ProxyId, std::vector<std::pair<std::string, std::uint16_t>>> marks;
-    auto at = services_.upper_bound(lastTurned_);
-    for (std::size_t looked = 0; looked < services_.size() && mostModules > 0; ++looked, ++at) {
+    auto at = services_.upper_bound(lastRunService_);
+    for (std::size_t visited = 0; visited < services_.size() && maxPlanners > 0; ++visited, ++at) {
         if (at == services_.end()) at = services_.begin();
         Service& service = at->second;
         if (!isDue(service, now)) continue;
-        --mostModules;
-        lastTurned_ = at->first;
+        --maxPlanners;
+        lastRunService_ = at->first;
         const std::vector<Event> events = std::exchange(service.events, {});
-        service.due = now + 1000000;
-        carryOut(service, service.planner->turn(now, events), now, out, marks);
+        service.due = now + kPlannerIntervalUs;
+        applyActions(service, service.planner->turn(now, events), now, out, marks);
     }
     std::vector<Batch> batches;
     for (auto& [id, batch] : out) {
@@ -216,13 +225,13 @@
     return batches;
 }
 
-void Steering::carryOut(Service& service, const std::vector<Action>& actions, Micros now,
-                        std::map<ProxyId, Batch>& out,
-                        std::map<ProxyId, std::vector<std::pair<std::string, std::uint16_t>>>& marks) {
+void Steering::applyActions(Service& service, const std::vector<Action>& actions, Micros now,
+                            std::map<ProxyId, Batch>& batches,
+                            std::map<ProxyId, std::vector<std::pair<std::string, std::uint16_t>>>& marks) {
     const std::string& name = service.spec.name;
-    const auto toUsers = [&](TableId table, const proto::Resource& line) {
+    const auto sendToUsers = [&](TableId table, const proto::Resource& line) {
         for (const auto& [id, proxy] : proxies_) {
-            if (uses(service, id, table)) out[id].lines.push_back(line);
+            if (uses(service, id, table)) batches[id].lines.push_back(line);
         }
     };
     for (const Action& action : actions) {
@@ -235,7 +244,7 @@
             }
             const auto id = service.names.find(set->server);
             if (id != service.names.end())
-                toUsers(set->table, weightLine(name, set->table, id->second, set->weight));
+                sendToUsers(set->table, weightLine(name, set->table, id->second, set->weight));
         } else if (const auto* drop = std::get_if<DropLines>(&action)) {
             for (auto& [id, table] : service.tables) {
                 if (drop->table != kAllTables && drop->table != id) continue;
@@ -243,7 +252,7 @@
                 proto::Resource line;
                 line.mutable_table_drop()->set_service(name);
                 line.mutable_table_drop()->set_table(id);
-                toUsers(id, line);
+                sendToUsers(id, line);
             }
             if (drop->table != kAllTables) {
                 const bool used = std::any_of(proxies_.begin(), proxies_.end(), [&](const auto& s) {
@@ -253,7 +262,7 @@
             }
         } else if (const auto* bind = std::get_if<Bind>(&action)) {
             if (!proxies_.count(bind->proxy)) continue;
-            auto& lines = out[bind->proxy].lines;
+            auto& lines = batches[bind->proxy].lines;
             auto& bound = service.bound[bind->proxy];
             std::set<TableId> before;
             for (const auto& [classes, table] : bound) before.insert(table);
@@ -272,29 +281,29 @@
             line.mutable_bind()->set_service(name);
             line.mutable_bind()->set_table(bind->table);
             line.mutable_bind()->set_classes(bind->classes);
-            line.mutable_bind()->set_abroad(kAbroadLarge);
-            line.mutable_bind()->set_abroad_else(kAbroadElse);
+            line.mutable_bind()->set_abroad(kOtherZoneLargeFactor);
+            line.mutable_bind()->set_abroad_else(kOtherZoneFactor);
             lines.push_back(line);
             for (const TableId table : before) {
                 if (uses(service, bind->proxy, table)) continue;
-                proto::Resource gone;
-                gone.mutable_table_drop()->set_service(name);
-                gone.mutable_table_drop()->set_table(table);
-                lines.push_back(gone);
+                proto::Resource unusedTable;
+                unusedTable.mutable_table_drop()->set_service(name);
+                unusedTable.mutable_table_drop()->set_table(table);
+                lines.push_back(unusedTable);
             }
         } else if (const auto* level = std::get_if<SetLevel>(&action)) {
             service.tables[level->table].levels[level->classes] = level->limit;
-            toUsers(level->table, levelLine(name, level->table, level->classes, level->limit));
+            sendToUsers(level->table, levelLine(name, level->table, level->classes, level->limit));
         } else if (const auto* mark = std::get_if<Mark>(&action)) {
             for (const auto& [id, proxy] : proxies_) {
                 marks[id].emplace_back(name, mark->mark);
-                out[id];
+                batches[id];
             }
         } else if (const auto* timer = std::get_if<ArmTimer>(&action)) {
             service.due = std::min(service.due, now + timer->delay);
         }
-        // Withdrawals come faster by the servers' own lines; probes, subscriptions and list requests aren't
-        // asked for.
+        // Other actions are ignored: servers are withdrawn faster through their own resources, and probes,
+        // subscriptions and list requests are not used.
     }
 }
 
--- a/src/gateway/gossip/view.h
+++ b/src/gateway/gossip/view.h
@@ -1,6 +1,7 @@
-// Who is there: a partial view, shuffled between neighbours. After Cyclon (Voulgaris, Gavidia, van Steen,
-// 2005): the neighbour that was told longest ago is asked next, and goes if it stays silent twice; each hands
-// over a sample. Those that serve control are kept first, since every process needs some of them. No I/O.
+// Peer discovery by gossip: a partial view of the processes that is shuffled between neighbours, after Cyclon
+// (Voulgaris, Gavidia, van Steen, 2005). The neighbour with the oldest entry is contacted next and removed
+// after two missed answers in a row; both sides send a sample of their view. Controllers are kept
+// preferentially, since every process needs some of them. No I/O.
 #pragma once
 
 #include <map>
@@ -15,51 +16,60 @@
 
 namespace proto = gateway::proto;
 
+/// The parameters of a view.
 struct Settings {
-    std::size_t most = 24, control = 16, sample = 8;
-    std::uint32_t ageMost = 20;  // shuffles of ours without fresh word of it
-    Micros every = 2000000;      // between shuffles of ours
-    Micros everyAlone = 300000;  // while nobody that serves control is known
+    std::size_t maxPeers = 24, maxControllers = 16, sampleSize = 8;
+    std::uint32_t maxAge = 20;  // in own shuffles without fresh information about the peer
+    Micros shuffleInterval = 2000000;
+    Micros isolatedShuffleInterval = 300000;  // while no controller is known
     std::uint64_t seed = 1;
 };
 
+/// The partial view of one process.
 class View {
 public:
     View(Settings settings, proto::Peer self, std::vector<std::string> seeds);
 
-    // Whom to write to now, and what; nothing if it isn't time yet.
-    struct Letter {
+    /// A message to a peer.
+    struct Message {
         std::string to;
         proto::Shuffle shuffle;
     };
-    [[nodiscard]] std::optional<Letter> due(Micros now);
+    /// Returns the next shuffle request; nothing if none is due.
+    [[nodiscard]] std::optional<Message> due(Micros now);
+    /// Returns when the next shuffle is due.
     [[nodiscard]] Micros nextDue() const { return next_; }
-    // What a neighbour wrote; its answer, if it wants one.
-    [[nodiscard]] std::optional<Letter> receive(const proto::Shuffle& shuffle);
-    // First-hand word that it is there, or that it isn't.
+    /// Merges a received shuffle; returns the answer if it was a request.
+    [[nodiscard]] std::optional<Message> receive(const proto::Shuffle& shuffle);
+    /// Records direct contact with a peer.
     void recordContact(const proto::Peer& peer);
+    /// Removes a peer that is known to be unreachable.
     void remove(const std::string& address);
+    /// Replaces the seed addresses.
     void seeds(std::vector<std::string> seeds) { seeds_ = std::move(seeds); }
 
-    [[nodiscard]] std::vector<proto::Peer> control() const;  // others that serve control
+    /// Returns the known controllers, without this process.
+    [[nodiscard]] std::vector<proto::Peer> control() const;
+    /// Returns all known peers, by address.
     [[nodiscard]] const std::map<std::string, proto::Peer>& peers() const { return peers_; }
+    /// Returns the seed addresses.
     [[nodiscard]] const std::vector<std::string>& seedAddresses() const { return seeds_; }
 
 private:
-    void take(const proto::Peer& peer);
+    void mergePeer(const proto::Peer& peer);
     void trim();
-    [[nodiscard]] proto::Shuffle letter(bool answer);
-    [[nodiscard]] std::uint64_t draw();
+    [[nodiscard]] proto::Shuffle makeShuffle(bool answer);
+    [[nodiscard]] std::uint64_t nextRandom();
 
     Settings settings_;
     proto::Peer self_;
     std::vector<std::string> seeds_;
     std::map<std::string, proto::Peer> peers_;
     std::optional<std::string> asked_;
-    std::optional<std::string> silentOnce_;  // asked again next
+    std::optional<std::string> unansweredOnce_;  // contacted again next
     Micros next_ = 0;
     std::size_t nextSeed_ = 0;
-    std::uint64_t drawn_;
+    std::uint64_t randomState_;
 };
 
 }  // namespace marldale::gossip
--- a/src/gateway/registry/registry.cpp
+++ b/src/gateway/registry/registry.cpp
@@ -5,116 +5,119 @@
 namespace marldale::registry {
 namespace {
 
-constexpr Micros kColdStep = 300000;    // a cold time that differs by less is no change
-constexpr Micros kDeafAfter = 2500000;  // nobody heard for so long: the fault is ours
-constexpr Micros kOrderSlack = 100000;  // a beat this shortly after a zone was taken back may be from before
+constexpr Micros kMinColdTimeChangeUs = 300000;  // smaller differences of a cold time are ignored
+constexpr Micros kIsolatedAfterUs = 2500000;     // no report at all for this long: the fault is local
+// A heartbeat this soon after a zone was taken back may have been sent before that.
+constexpr Micros kAssumedColdSlackUs = 100000;
 
-// Whether a server is reached or chosen otherwise than before.
-bool placedOtherwise(const proto::Server& before, const proto::Server& after) {
+// Returns whether anything changed that decides how a server is reached or chosen.
+bool routingChanged(const proto::Server& before, const proto::Server& after) {
     return before.service() != after.service() || before.zone() != after.zone() ||
            before.free_places() != after.free_places() || before.address() != after.address();
 }
 
 }  // namespace
 
-void Registry::noteChange(const std::string& id) {
+void Registry::recordChange(const std::string& id) {
     ++changes_;
     changed_.insert(id);
 }
 
-Registry::ReportEffect Registry::applyReport(Micros now, const proto::Server& said) {
-    if (said.id().empty() || departed_.count(said.id()) != 0) return ReportEffect::none;
-    const Micros at = now - std::max<Micros>(0, said.heard_ago());
-    if (said.gone()) return signOff(said.id(), at, now);
-    const auto known = servers_.find(said.id());
+Registry::ReportEffect Registry::applyReport(Micros now, const proto::Server& report) {
+    if (report.id().empty() || departed_.count(report.id()) != 0) return ReportEffect::none;
+    const Micros at = now - std::max<Micros>(0, report.heard_ago());
+    if (report.gone()) return signOff(report.id(), at, now);
+    const auto known = servers_.find(report.id());
     const bool isNew = known == servers_.end();
     if (isNew) {
-        if (servers_.size() >= settings_.most) return ReportEffect::none;
-    } else if (said.call_count() < known->second.report.call_count()) {
-        return heardLate(known->second, said);
-    } else if (said.call_count() == known->second.report.call_count()) {
-        if (said.emptying() && !known->second.report.emptying()) return heardLate(known->second, said);
-        const bool later = at > known->second.heardAt;
-        known->second.heardAt = std::max(known->second.heardAt, at);
+        if (servers_.size() >= settings_.maxServers) return ReportEffect::none;
+    } else if (report.call_count() < known->second.report.call_count()) {
+        return applyLateReport(known->second, report);
+    } else if (report.call_count() == known->second.report.call_count()) {
+        if (report.emptying() && !known->second.report.emptying())
+            return applyLateReport(known->second, report);
+        const bool later = at > known->second.reportedAt;
+        known->second.reportedAt = std::max(known->second.reportedAt, at);
         return later ? ReportEffect::refreshed : ReportEffect::none;
     }
-    lastHeard_ = std::max(lastHeard_, at);
-    if (isNew) claimAddress(said, now);
-    return update(servers_[said.id()], said, at, now, isNew);
+    lastReportAt_ = std::max(lastReportAt_, at);
+    if (isNew) claimAddress(report, now);
+    return update(servers_[report.id()], report, at, now, isNew);
 }
 
-Registry::ReportEffect Registry::heardLate(Server& server, const proto::Server& said) {
-    if (!said.emptying() || server.report.emptying()) return ReportEffect::none;
+Registry::ReportEffect Registry::applyLateReport(Server& server, const proto::Server& report) {
+    if (!report.emptying() || server.report.emptying()) return ReportEffect::none;
     server.report.set_emptying(true);
-    noteChange(server.report.id());
+    recordChange(server.report.id());
     return ReportEffect::urgent;
 }
 
 Registry::ReportEffect Registry::signOff(const std::string& id, Micros at, Micros now) {
-    if (now - at > settings_.goneKept) return ReportEffect::none;
-    lastHeard_ = std::max(lastHeard_, at);
+    if (now - at > settings_.departureRetention) return ReportEffect::none;
+    lastReportAt_ = std::max(lastReportAt_, at);
     if (const auto known = servers_.find(id); known != servers_.end()) {
         byAddress_.erase(known->second.report.address());
         servers_.erase(known);
     }
     departed_[id] = at;
-    noteChange(id);
+    recordChange(id);
     return ReportEffect::urgent;
 }
 
-void Registry::claimAddress(const proto::Server& said, Micros now) {
-    const auto before = byAddress_.find(said.address());
+void Registry::claimAddress(const proto::Server& report, Micros now) {
+    const auto before = byAddress_.find(report.address());
     if (before != byAddress_.end()) {
         departed_[before->second] = now;
         servers_.erase(before->second);
-        noteChange(before->second);
+        recordChange(before->second);
     }
-    byAddress_[said.address()] = said.id();
+    byAddress_[report.address()] = report.id();
 }
 
-bool Registry::updateColdTime(Server& server, const proto::Server& said, Micros at, Micros now) {
-    const Micros cold = said.cold_left() > 0 ? at + said.cold_left() : 0;
-    const bool wasCold = server.coldUntil > now || server.coldByOrder;
-    if (server.coldByOrder && at > server.orderAt + kOrderSlack) server.coldByOrder = false;
-    if (server.coldByOrder && cold <= server.coldUntil) return false;
-    const bool changed = std::abs(cold - server.coldUntil) > kColdStep && (cold > now || wasCold);
+bool Registry::updateColdTime(Server& server, const proto::Server& report, Micros at, Micros now) {
+    const Micros cold = report.cold_left() > 0 ? at + report.cold_left() : 0;
+    const bool wasCold = server.coldUntil > now || server.assumedCold;
+    if (server.assumedCold && at > server.assumedColdAt + kAssumedColdSlackUs) server.assumedCold = false;
+    if (server.assumedCold && cold <= server.coldUntil) return false;
+    const bool changed = std::abs(cold - server.coldUntil) > kMinColdTimeChangeUs && (cold > now || wasCold);
     server.coldUntil = cold;
     return changed;
 }
 
-Registry::ReportEffect Registry::update(Server& server, const proto::Server& said, Micros at, Micros now,
+Registry::ReportEffect Registry::update(Server& server, const proto::Server& report, Micros at, Micros now,
                                         bool isNew) {
-    const bool emptied = said.emptying() && !server.report.emptying();
-    const bool coldChanged = updateColdTime(server, said, at, now);
-    const bool changed = isNew || coldChanged || placedOtherwise(server.report, said);
-    if (server.firstAt == 0) server.firstAt = now - std::max<Micros>(0, said.age());
+    const bool emptied = report.emptying() && !server.report.emptying();
+    const bool coldChanged = updateColdTime(server, report, at, now);
+    const bool changed = isNew || coldChanged || routingChanged(server.report, report);
+    if (server.firstReportedAt == 0) server.firstReportedAt = now - std::max<Micros>(0, report.age());
     const bool departing = server.report.emptying();
-    server.report = said;
+    server.report = report;
     if (departing) server.report.set_emptying(true);
-    server.heardAt = std::max(server.heardAt, at);
+    server.reportedAt = std::max(server.reportedAt, at);
     if (!emptied && !changed) return ReportEffect::refreshed;
-    noteChange(said.id());
+    recordChange(report.id());
     return emptied ? ReportEffect::urgent : ReportEffect::changed;
 }
 
-void Registry::restore(Micros now, const proto::Server& said, Micros ago) {
-    if (said.id().empty() || said.gone() || departed_.count(said.id()) != 0) return;
-    if (servers_.count(said.id()) != 0 || byAddress_.count(said.address()) != 0) return;
-    Server& server = servers_[said.id()];
-    server.report = said;
-    server.heardAt = now - static_cast<Micros>(settings_.missed * static_cast<double>(settings_.beatEvery)) +
-                     settings_.hintFor;
-    server.firstAt = now;
-    const Micros age = ago + said.heard_ago();
-    server.coldByOrder = ago < 0 || age > settings_.hintFresh;
-    server.orderAt = now;
-    server.coldUntil = server.coldByOrder ? now + settings_.hintCold : now - age + said.cold_left();
-    byAddress_[said.address()] = said.id();
-    noteChange(said.id());
+void Registry::restore(Micros now, const proto::Server& report, Micros ago) {
+    if (report.id().empty() || report.gone() || departed_.count(report.id()) != 0) return;
+    if (servers_.count(report.id()) != 0 || byAddress_.count(report.address()) != 0) return;
+    Server& server = servers_[report.id()];
+    server.report = report;
+    server.reportedAt =
+        now - static_cast<Micros>(settings_.maxMissedBeats * static_cast<double>(settings_.beatEvery)) +
+        settings_.restoredGracePeriod;
+    server.firstReportedAt = now;
+    const Micros age = ago + report.heard_ago();
+    server.assumedCold = ago < 0 || age > settings_.restoredMaxAge;
+    server.assumedColdAt = now;
+    server.coldUntil = server.assumedCold ? now + settings_.restoredColdTime : now - age + report.cold_left();
+    byAddress_[report.address()] = report.id();
+    recordChange(report.id());
 }
 
 void Registry::recordAnswer(Micros now, const std::string& id) {
-    if (const auto at = servers_.find(id); at != servers_.end()) at->second.aliveAt = now;
+    if (const auto at = servers_.find(id); at != servers_.end()) at->second.answeredAt = now;
 }
 
 bool Registry::removeReplaced(Micros now, const std::string& id) {
@@ -123,7 +126,7 @@
     byAddress_.erase(at->second.report.address());
     servers_.erase(at);
     departed_[id] = now;
-    noteChange(id);
+    recordChange(id);
     return true;
 }
 
@@ -132,27 +135,29 @@
     for (auto& [id, server] : servers_) {
         if (server.report.zone() != zone) continue;
         const auto warm = warmUp.find(server.report.service());
-        server.coldByOrder = true;
-        server.orderAt = now;
+        server.assumedCold = true;
+        server.assumedColdAt = now;
         server.coldUntil = std::max(server.coldUntil, now + (warm == warmUp.end() ? 0 : warm->second));
-        noteChange(id);
+        recordChange(id);
     }
 }
 
 bool Registry::tick(Micros now) {
     std::erase_if(departed_, [&](const auto& at) {
-        const bool isForgotten = now - at.second > settings_.goneKept;
-        if (isForgotten) changed_.insert(at.first);
-        return isForgotten;
+        const bool isExpired = now - at.second > settings_.departureRetention;
+        if (isExpired) changed_.insert(at.first);
+        return isExpired;
     });
-    if (now - lastHeard_ > kDeafAfter) return false;
-    const auto silent = static_cast<Micros>(settings_.missed * static_cast<double>(settings_.beatEvery));
+    if (now - lastReportAt_ > kIsolatedAfterUs) return false;
+    const auto maxSilence =
+        static_cast<Micros>(settings_.maxMissedBeats * static_cast<double>(settings_.beatEvery));
     const std::size_t before = servers_.size();
     std::erase_if(servers_, [&](const auto& at) {
         const Server& server = at.second;
-        if (now - server.heardAt <= silent || now - server.aliveAt <= settings_.aliveFor) return false;
+        if (now - server.reportedAt <= maxSilence || now - server.answeredAt <= settings_.answerValidity)
+            return false;
         byAddress_.erase(server.report.address());
-        // One that was leaving has ended; any other comes back with its next beat.
+        // An emptying server has ended; any other returns with its next heartbeat.
         if (server.report.emptying()) departed_[at.first] = now;
         changed_.insert(at.first);
         return true;
@@ -181,9 +186,9 @@
 
 proto::Server Registry::reportOf(const Server& server, Micros now) const {
     proto::Server out = server.report;
-    out.set_heard_ago(now - server.heardAt);
-    out.set_age(now - server.firstAt);
-    out.set_cold_left(coldLeft(server, server.heardAt));
+    out.set_heard_ago(now - server.reportedAt);
+    out.set_age(now - server.firstReportedAt);
+    out.set_cold_left(coldLeft(server, server.reportedAt));
     return out;
 }
 
--- a/tests/gateway/configuration_difference_test.cpp
+++ b/tests/gateway/configuration_difference_test.cpp
@@ -28,23 +28,23 @@
     }
 }
 
-// Replaces one value somewhere, takes a member away, or puts one in twice.
-void mutate(rapidjson::Document& document, std::mt19937_64& draw) {
+// Replaces a random value, removes a member or duplicates a member.
+void mutate(rapidjson::Document& document, std::mt19937_64& random) {
     std::vector<Value*> all;
     collect(document, all);
-    Value& at = *all[draw() % all.size()];
+    Value& at = *all[random() % all.size()];
     auto& memory = document.GetAllocator();
-    if (at.IsObject() && at.MemberCount() > 0 && draw() % 3 == 0) {
-        const auto member = at.MemberBegin() + static_cast<std::ptrdiff_t>(draw() % at.MemberCount());
-        if (draw() % 2 == 0) {
+    if (at.IsObject() && at.MemberCount() > 0 && random() % 3 == 0) {
+        const auto member = at.MemberBegin() + static_cast<std::ptrdiff_t>(random() % at.MemberCount());
+        if (random() % 2 == 0) {
             at.EraseMember(member);
         } else {
             Value name(member->name, memory);
-            at.AddMember(name, Value(static_cast<int>(draw() % 3)), memory);
+            at.AddMember(name, Value(static_cast<int>(random() % 3)), memory);
         }
         return;
     }
-    switch (draw() % 12) {
+    switch (random() % 12) {
         case 0: at.SetInt(0); break;
         case 1: at.SetInt(-1); break;
         case 2: at.SetInt(1); break;
@@ -68,26 +68,26 @@
     return route;
 }
 
-using Painted = std::map<std::string, unsigned>;
-Painted painted(const Configuration& configuration) {
-    Painted out;
+using ContentByKey = std::map<std::string, unsigned>;
+ContentByKey contentByKey(const Configuration& configuration) {
+    ContentByKey out;
     for (const auto& route : configuration.routes) out[route.host_name()] = route.tries();
     for (const auto& service : configuration.services) out[service.name()] = service.max_connections();
     return out;
 }
 
-Configuration randomConfiguration(std::mt19937_64& draw) {
+Configuration randomConfiguration(std::mt19937_64& random) {
     std::vector<proto::RouteResource> routes;
     std::vector<proto::ServiceResource> services;
     for (unsigned host = 0; host < 12; ++host) {
-        if (draw() % 3 != 0) routes.push_back(routeOf(host, static_cast<unsigned>(draw() % 2)));
+        if (random() % 3 != 0) routes.push_back(routeOf(host, static_cast<unsigned>(random() % 2)));
     }
-    if (draw() % 3 == 0) std::shuffle(routes.begin(), routes.end(), draw);
+    if (random() % 3 == 0) std::shuffle(routes.begin(), routes.end(), random);
     for (unsigned k = 0; k < 4; ++k) {
-        if (draw() % 4 == 0) continue;
+        if (random() % 4 == 0) continue;
         services.emplace_back();
         services.back().set_name("s" + std::to_string(k));
-        services.back().set_max_connections(static_cast<std::uint32_t>(draw() % 2));
+        services.back().set_max_connections(static_cast<std::uint32_t>(random() % 2));
     }
     Configuration out;
     out.routes = std::move(routes);
@@ -97,45 +97,45 @@
 
 }  // namespace
 
-TEST_CASE("The check by hand and the schema's validator give the same verdict", "[configuration]") {
-    std::size_t taken = 0, refused = 0;
-    std::mt19937_64 draw(1);
+TEST_CASE("The handwritten check and the schema validator agree", "[configuration]") {
+    std::size_t valid = 0, invalid = 0;
+    std::mt19937_64 random(1);
     for (int round = 0; round < 20000; ++round) {
         rapidjson::Document document;
         document.Parse(kText);
         REQUIRE_FALSE(document.HasParseError());
-        for (std::uint64_t changes = draw() % 3; changes > 0; --changes) mutate(document, draw);
+        for (std::uint64_t changes = random() % 3; changes > 0; --changes) mutate(document, random);
         const std::string violation = schemaViolation(document);
         INFO(violation);
         REQUIRE(matchesSchema(document) == violation.empty());
-        ++(violation.empty() ? taken : refused);
+        ++(violation.empty() ? valid : invalid);
     }
-    CHECK(taken > 2000);
-    CHECK(refused > 2000);
+    CHECK(valid > 2000);
+    CHECK(invalid > 2000);
 }
 
-TEST_CASE("A text that was read is remembered, a refused one is not taken for it", "[configuration]") {
+TEST_CASE("A parsed text is cached, and an invalid text is not mistaken for it", "[configuration]") {
     const auto first = readConfiguration(kText), again = readConfiguration(kText);
     REQUIRE(first.ok());
     REQUIRE(again.ok());
     CHECK(first->routes.sharesWith(again->routes));
     CHECK_FALSE(first->routes.sharesWith(parseConfiguration(kText)->routes));
-    std::string other = kText;
-    other.replace(other.find("\"tries\":2"), 9, "\"tries\":3");
-    CHECK(readConfiguration(other)->routes[0].tries() == 3);
-    other.replace(other.find("\"tries\":3"), 9, "\"tries\":0");
-    CHECK_FALSE(readConfiguration(other).ok());
-    CHECK_FALSE(readConfiguration(other).ok());
+    std::string changed = kText;
+    changed.replace(changed.find("\"tries\":2"), 9, "\"tries\":3");
+    CHECK(readConfiguration(changed)->routes[0].tries() == 3);
+    changed.replace(changed.find("\"tries\":3"), 9, "\"tries\":0");
+    CHECK_FALSE(readConfiguration(changed).ok());
+    CHECK_FALSE(readConfiguration(changed).ok());
 }
 
-TEST_CASE("Each field of a resource makes a difference", "[configuration]") {
+TEST_CASE("Resources that differ in any single field are not equal", "[configuration]") {
     const auto differ = [](auto&& change) {
-        proto::RouteResource one = routeOf(1, 2), other = routeOf(1, 2);
-        one.add_shares()->set_service("a");
-        *other.mutable_shares() = one.shares();
-        REQUIRE(same(one, other));
-        change(other);
-        CHECK_FALSE(same(one, other));
+        proto::RouteResource left = routeOf(1, 2), right = routeOf(1, 2);
+        left.add_shares()->set_service("a");
+        *right.mutable_shares() = left.shares();
+        REQUIRE(same(left, right));
+        change(right);
+        CHECK_FALSE(same(left, right));
     };
     differ([](auto& r) { r.set_name("x"); });
     differ([](auto& r) { r.set_host_name("x"); });
@@ -149,9 +149,9 @@
     differ([](auto& r) { r.mutable_shares(0)->set_share(5); });
     differ([](auto& r) { r.mutable_shares(0)->set_service("b"); });
     const auto differService = [](auto&& change) {
-        proto::ServiceResource one, other;
-        change(other);
-        CHECK_FALSE(same(one, other));
+        proto::ServiceResource left, right;
+        change(right);
+        CHECK_FALSE(same(left, right));
     };
     differService([](auto& s) { s.set_name("x"); });
     differService([](auto& s) { s.set_health_path("x"); });
@@ -159,9 +159,9 @@
     differService([](auto& s) { s.set_warm_up(1); });
     differService([](auto& s) { s.set_cold_per_s(1); });
     const auto differLimits = [](auto&& change) {
-        proto::LimitsResource one, other;
-        change(other);
-        CHECK_FALSE(same(one, other));
+        proto::LimitsResource left, right;
+        change(right);
+        CHECK_FALSE(same(left, right));
     };
     differLimits([](auto& l) { l.set_max_header_bytes(1); });
     differLimits([](auto& l) { l.set_max_body_bytes(1); });
@@ -169,13 +169,13 @@
     differLimits([](auto& l) { l.set_quiet(1); });
 }
 
-TEST_CASE("A difference turns what was before into what is after, with no item that stays",
+TEST_CASE("Applying a difference yields the new configuration, and unchanged items are left out",
           "[configuration]") {
-    std::mt19937_64 draw(2);
+    std::mt19937_64 random(2);
     for (int round = 0; round < 3000; ++round) {
-        const Configuration before = randomConfiguration(draw), after = randomConfiguration(draw);
+        const Configuration before = randomConfiguration(random), after = randomConfiguration(random);
         const ConfigurationDifference difference = differenceOf(before, after);
-        Painted now = painted(before);
+        ContentByKey now = contentByKey(before);
         const auto put = [&](const std::string& key, unsigned content) {
             const auto at = now.find(key);
             REQUIRE((at == now.end() || at->second != content));
@@ -185,39 +185,40 @@
         for (const auto* service : difference.servicesRemoved) REQUIRE(now.erase(service->name()) == 1);
         for (const auto* route : difference.routesPut) put(route->host_name(), route->tries());
         for (const auto* service : difference.servicesPut) put(service->name(), service->max_connections());
-        REQUIRE(now == painted(after));
-        const bool renamed = !difference.servicesRemoved.empty() ||
-                             std::any_of(difference.servicesPut.begin(), difference.servicesPut.end(),
-                                         [&](const auto* s) { return !painted(before).count(s->name()); });
-        REQUIRE(difference.servicesNamedAnew == renamed);
+        REQUIRE(now == contentByKey(after));
+        const bool namesChanged =
+            !difference.servicesRemoved.empty() ||
+            std::any_of(difference.servicesPut.begin(), difference.servicesPut.end(),
+                        [&](const auto* s) { return !contentByKey(before).count(s->name()); });
+        REQUIRE(difference.serviceNamesChanged == namesChanged);
     }
-    Configuration one = randomConfiguration(draw), other = one;
-    other.limits.set_quiet(5);
-    CHECK(differenceOf(one, other).limitsChanged);
-    CHECK(differenceOf(one, other).routesPut.empty());
+    Configuration left = randomConfiguration(random), right = left;
+    right.limits.set_quiet(5);
+    CHECK(differenceOf(left, right).limitsChanged);
+    CHECK(differenceOf(left, right).routesPut.empty());
 }
 
-TEST_CASE("A configuration's resources follow it change by change as if made anew", "[configuration]") {
+TEST_CASE("Resources that are updated change by change equal those of a fresh start", "[configuration]") {
     using namespace distribution;
-    std::mt19937_64 draw(3);
-    ResourceDistributor followed;
-    ConfigurationResources following(followed);
+    std::mt19937_64 random(3);
+    ResourceDistributor updatedDistributor;
+    ConfigurationResources updated(updatedDistributor);
     for (int round = 0; round < 300; ++round) {
-        const Configuration configuration = randomConfiguration(draw);
+        const Configuration configuration = randomConfiguration(random);
         std::set<std::string> emptied;
-        if (draw() % 3 == 0) emptied.insert("north");
-        if (draw() % 3 == 0) emptied.insert("south");
+        if (random() % 3 == 0) emptied.insert("north");
+        if (random() % 3 == 0) emptied.insert("south");
         proto::BudgetResource budget;
-        budget.set_per_s(static_cast<double>(draw() % 2));
+        budget.set_per_s(static_cast<double>(random() % 2));
         const ConfigurationResources::Source source{configuration, emptied, budget, true};
-        following.update(source);
-        ResourceDistributor anew;
-        ConfigurationResources(anew).update(source);
-        REQUIRE(followed.desired().size() == anew.desired().size());
-        for (const auto& [key, wanted] : anew.desired()) {
+        updated.update(source);
+        ResourceDistributor freshDistributor;
+        ConfigurationResources(freshDistributor).update(source);
+        REQUIRE(updatedDistributor.desired().size() == freshDistributor.desired().size());
+        for (const auto& [key, desired] : freshDistributor.desired()) {
             INFO(key);
-            REQUIRE(followed.desired().count(key) == 1);
-            REQUIRE(followed.desired().at(key).hash == wanted.hash);
+            REQUIRE(updatedDistributor.desired().count(key) == 1);
+            REQUIRE(updatedDistributor.desired().at(key).hash == desired.hash);
         }
     }
 }
--- a/tests/gateway/configuration_store_test.cpp
+++ b/tests/gateway/configuration_store_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("A configuration is read with its units", "[configuration]") {
+TEST_CASE("A configuration is parsed with its units", "[configuration]") {
     const auto read = readConfiguration(configuration(
         7, 5,
         R"("shares":[{"service":"a","share":90},{"service":"b","share":10}],"give_up":"1.5s","tries":3)"));
@@ -35,10 +35,10 @@
     CHECK(read->services[0].cold_per_s() == 19.0);
 }
 
-TEST_CASE("What can't be read whole, or makes no sense, is refused with its place", "[configuration]") {
-    const std::string whole = configuration(7, 0);
-    const std::vector<std::pair<std::string, std::string>> wrong = {
-        {whole.substr(0, whole.size() - 3), "byte"},
+TEST_CASE("Invalid configurations are refused with the location of the error", "[configuration]") {
+    const std::string complete = configuration(7, 0);
+    const std::vector<std::pair<std::string, std::string>> invalid = {
+        {complete.substr(0, complete.size() - 3), "byte"},
         {configuration(7, 0, R"("service":"nobody","give_up":"2000ms","tries":2)"), "unknown service"},
         {configuration(7, 0, R"("service":"a","give_up":"2000ms","tries":0)"), "tries"},
         {configuration(7, 0, R"("service":"a","give_up":"0ms","tries":1)"), "give_up"},
@@ -52,73 +52,74 @@
         {"", "byte"},
         {"[]", "type"},
     };
-    for (const auto& [text, place] : wrong) {
+    for (const auto& [text, place] : invalid) {
         const auto read = readConfiguration(text);
         INFO(text);
         REQUIRE_FALSE(read.ok());
         INFO(std::string(read.status().message()));
         CHECK(std::string(read.status().message()).find(place) != std::string::npos);
     }
-    // A minute over is a mistake, a little less is the operator's wish.
+    // A target a minute above give_up is refused as a mistake; a little less is accepted.
     CHECK(readConfiguration(
               configuration(7, 0, R"("service":"a","give_up":"2000ms","tries":2)", "/x/", "writing", "61.9s"))
               .ok());
 }
 
-TEST_CASE("Cut anywhere, a configuration is never taken", "[configuration]") {
-    const std::string whole = configuration(7, 0);
-    for (std::size_t length = 0; length + 1 < whole.size(); ++length)
-        REQUIRE_FALSE(readConfiguration(whole.substr(0, length)).ok());
+TEST_CASE("A configuration that is truncated anywhere is refused", "[configuration]") {
+    const std::string complete = configuration(7, 0);
+    for (std::size_t length = 0; length + 1 < complete.size(); ++length)
+        REQUIRE_FALSE(readConfiguration(complete.substr(0, length)).ok());
 }
 
-TEST_CASE("Of two changes on one version one wins, and what was taken may be sent again", "[configuration]") {
-    ConfigurationStore plans;
+TEST_CASE("Only one of two changes on the same version is accepted, and it may be sent again",
+          "[configuration]") {
+    ConfigurationStore store;
     const std::string first = replaceChange(configuration(5, 0)), one = replaceChange(configuration(8, 5)),
                       other = replaceChange(configuration(9, 5));
-    CHECK(plans.apply(1, first) == Verdict::taken);
-    CHECK(plans.apply(2, first) == Verdict::already);
-    CHECK(plans.apply(3, one) == Verdict::taken);
-    CHECK(plans.apply(4, other) == Verdict::stale);
-    CHECK(plans.apply(5, one) == Verdict::already);
-    CHECK(plans.apply(6, first) == Verdict::already);
-    CHECK(plans.apply(7, replaceChange(configuration(8, 8))) == Verdict::invalid);
-    CHECK(plans.apply(8, replaceChange("{")) == Verdict::invalid);
-    CHECK(plans.configuration().version == 8);
-    CHECK(plans.index() == 3);
+    CHECK(store.apply(1, first) == Verdict::taken);
+    CHECK(store.apply(2, first) == Verdict::already);
+    CHECK(store.apply(3, one) == Verdict::taken);
+    CHECK(store.apply(4, other) == Verdict::stale);
+    CHECK(store.apply(5, one) == Verdict::already);
+    CHECK(store.apply(6, first) == Verdict::already);
+    CHECK(store.apply(7, replaceChange(configuration(8, 8))) == Verdict::invalid);
+    CHECK(store.apply(8, replaceChange("{")) == Verdict::invalid);
+    CHECK(store.configuration().version == 8);
+    CHECK(store.index() == 3);
 }
 
-TEST_CASE("A zone is emptied and taken back once", "[configuration]") {
-    ConfigurationStore plans;
-    CHECK(plans.apply(1, zoneChange("north", true)) == Verdict::taken);
-    CHECK(plans.apply(2, zoneChange("north", true)) == Verdict::already);
-    CHECK(plans.emptied().count("north") == 1);
-    CHECK(plans.apply(3, zoneChange("south", false)) == Verdict::already);
-    CHECK(plans.apply(4, zoneChange("north", false)) == Verdict::taken);
-    CHECK(plans.emptied().empty());
-    CHECK(plans.index() == 4);
+TEST_CASE("Emptying and refilling a zone take effect once", "[configuration]") {
+    ConfigurationStore store;
+    CHECK(store.apply(1, zoneChange("north", true)) == Verdict::taken);
+    CHECK(store.apply(2, zoneChange("north", true)) == Verdict::already);
+    CHECK(store.emptied().count("north") == 1);
+    CHECK(store.apply(3, zoneChange("south", false)) == Verdict::already);
+    CHECK(store.apply(4, zoneChange("north", false)) == Verdict::taken);
+    CHECK(store.emptied().empty());
+    CHECK(store.index() == 4);
 }
 
-TEST_CASE("Every machine comes to the same verdicts, also from a snapshot in the middle", "[configuration]") {
-    std::mt19937_64 draw(7);
+TEST_CASE("Every machine reaches the same verdicts, even after restoring a snapshot", "[configuration]") {
+    std::mt19937_64 random(7);
     for (int history = 0; history < 40; ++history) {
         ConfigurationStore one, other;
         std::uint64_t version = 0;
         for (std::uint64_t index = 1; index < 60; ++index) {
             std::string change;
-            switch (draw() % 4) {
-                case 0: change = zoneChange(draw() % 2 == 0 ? "n" : "s", draw() % 2 == 0); break;
-                case 1: change = replaceChange(configuration(version + draw() % 3, version)); break;
+            switch (random() % 4) {
+                case 0: change = zoneChange(random() % 2 == 0 ? "n" : "s", random() % 2 == 0); break;
+                case 1: change = replaceChange(configuration(version + random() % 3, version)); break;
                 case 2:
-                    change = replaceChange(configuration(version + 1 + draw() % 3, version - draw() % 2));
+                    change = replaceChange(configuration(version + 1 + random() % 3, version - random() % 2));
                     break;
-                default: change = replaceChange(configuration(1 + draw() % 5, 0)); break;
+                default: change = replaceChange(configuration(1 + random() % 5, 0)); break;
             }
             const Verdict before = one.judge(change);
             const Verdict verdict = one.apply(index, change);
             REQUIRE(before == verdict);
             REQUIRE(other.apply(index, change) == verdict);
             version = one.configuration().version;
-            if (draw() % 8 == 0) {
+            if (random() % 8 == 0) {
                 ConfigurationStore restored;
                 REQUIRE(restored.restore(other.snapshot()).ok());
                 other = std::move(restored);
@@ -130,19 +131,19 @@
     }
 }
 
-TEST_CASE("A snapshot that isn't whole is refused", "[configuration]") {
-    ConfigurationStore plans;
-    REQUIRE(plans.apply(1, replaceChange(configuration(5, 0))) == Verdict::taken);
-    REQUIRE(plans.apply(2, zoneChange("north", true)) == Verdict::taken);
-    const std::string whole = plans.snapshot();
-    for (std::size_t length = 0; length < whole.size(); ++length) {
+TEST_CASE("A truncated snapshot is refused", "[configuration]") {
+    ConfigurationStore store;
+    REQUIRE(store.apply(1, replaceChange(configuration(5, 0))) == Verdict::taken);
+    REQUIRE(store.apply(2, zoneChange("north", true)) == Verdict::taken);
+    const std::string complete = store.snapshot();
+    for (std::size_t length = 0; length < complete.size(); ++length) {
         ConfigurationStore other;
-        REQUIRE_FALSE(other.restore(whole.substr(0, length)).ok());
+        REQUIRE_FALSE(other.restore(complete.substr(0, length)).ok());
         REQUIRE(other.index() == 0);
     }
 }
 
-TEST_CASE("An order is known again after many others, and after a restart from a snapshot",
+TEST_CASE("An order is recognized after many others, and after restoring a snapshot",
           "[configuration][orders]") {
     constexpr std::uint64_t kOrders = 600;
     ConfigurationStore store;
--- a/tests/gateway/distribution_journal_test.cpp
+++ b/tests/gateway/distribution_journal_test.cpp
@@ -10,13 +10,13 @@
 DesiredResource resourceOf(const std::string& key, unsigned content, bool urgent) {
     DesiredResource out;
     if (key[0] == 'r') {
-        out.line.mutable_route()->set_host_name(key.substr(2));
-        out.line.mutable_route()->set_tries(content);
+        out.resource.mutable_route()->set_host_name(key.substr(2));
+        out.resource.mutable_route()->set_tries(content);
     } else if (key[0] == 'v') {
-        out.line.mutable_server()->set_id(key.substr(2));
-        out.line.mutable_server()->set_in_flight_most(content);
+        out.resource.mutable_server()->set_id(key.substr(2));
+        out.resource.mutable_server()->set_in_flight_most(content);
     } else {
-        out.line.set_zone_empty(key.substr(2));
+        out.resource.set_zone_empty(key.substr(2));
         urgent = true;
     }
     out.hash = content * 2 + 1;
@@ -24,22 +24,22 @@
     return out;
 }
 
-// A distributor by journal and one by full comparison live through the same history.
-class Twins {
+// Runs a distributor with a journal and one with full comparison through the same history.
+class DistributorPair {
 public:
     ResourceDistributor journal;
     FullComparisonDistributor full;
-    std::map<ProxyId, std::vector<std::uint64_t>> open;  // marks, by proxy
+    std::map<ProxyId, std::vector<std::uint64_t>> open;  // unacknowledged marks, by proxy
     std::map<ProxyId, std::map<std::string, std::string>> held;
-    bool fault = false;  // planted: a change is not told to the journal's distributor
+    bool fault = false;  // injected: changes are hidden from the distributor with a journal
 
-    void put(const std::string& key, const DesiredResource& wanted) {
-        if (!fault) journal.put(key, wanted);
-        full.wanted[key] = wanted;
+    void put(const std::string& key, const DesiredResource& desired) {
+        if (!fault) journal.put(key, desired);
+        full.desired[key] = desired;
     }
     void remove(const std::string& key) {
         if (!fault) journal.remove(key);
-        full.wanted.erase(key);
+        full.desired.erase(key);
     }
     void join(ProxyId proxy, const std::string& zone) {
         journal.join(proxy, zone);
@@ -59,7 +59,7 @@
         full.answered(proxy, mine[marks - 1]);
         mine.erase(mine.begin(), mine.begin() + static_cast<std::ptrdiff_t>(marks));
     }
-    // Both say the same to the same proxies, line by line.
+    // Runs a turn; returns whether both send the same resources to the same proxies.
     bool turn(Micros now) {
         auto expected = full.turn(now);
         for (const ResourceDistributor::Batch& batch : journal.turn(now)) {
@@ -74,19 +74,19 @@
                     return false;
                 expected.erase(at);
                 open[proxy].push_back(batch.mark);
-                paint(proxy, batch);
+                apply(proxy, batch);
             }
         }
         return expected.empty();
     }
-    [[nodiscard]] bool everybodyHoldsAll() const {
-        std::map<std::string, std::string> wanted;
-        for (const auto& [key, resource] : full.wanted) wanted[key] = resource.line.SerializeAsString();
-        return std::all_of(held.begin(), held.end(), [&](const auto& h) { return h.second == wanted; });
+    [[nodiscard]] bool allProxiesComplete() const {
+        std::map<std::string, std::string> desired;
+        for (const auto& [key, resource] : full.desired) desired[key] = resource.resource.SerializeAsString();
+        return std::all_of(held.begin(), held.end(), [&](const auto& h) { return h.second == desired; });
     }
 
 private:
-    void paint(ProxyId proxy, const ResourceDistributor::Batch& batch) {
+    void apply(ProxyId proxy, const ResourceDistributor::Batch& batch) {
         auto& mine = held[proxy];
         if (batch.fresh) mine.clear();
         for (const proto::Resource& line : batch.lines) {
@@ -109,44 +109,45 @@
     }
 };
 
-// A random history of changes, joins, leaves, lost answers and timeouts, then calm. Says whether both agreed
-// all along, and all proxies hold all that is wanted in the end.
-bool agreesOver(std::uint64_t seed, bool plantFault) {
-    std::mt19937_64 draw(seed);
-    Twins twins;
+// A random history of changes, joins, leaves, lost acknowledgements and timeouts, followed by a quiet period.
+// Returns whether both distributors agreed throughout and all proxies hold all desired resources in the end.
+bool agreeOnHistory(std::uint64_t seed, bool injectFault) {
+    std::mt19937_64 random(seed);
+    DistributorPair pair;
     ProxyId last = 0;
     Micros now = 0;
     for (int step = 0; step < 200; ++step) {
-        now += 20000 + static_cast<Micros>(draw() % 200000);
-        for (std::uint64_t changes = draw() % 4; changes > 0; --changes) {
+        now += 20000 + static_cast<Micros>(random() % 200000);
+        for (std::uint64_t changes = random() % 4; changes > 0; --changes) {
             static constexpr const char* kKinds[] = {"r ", "r ", "v ", "z "};
-            const std::string key = kKinds[draw() % 4] + std::string(1, static_cast<char>('a' + draw() % 10));
-            twins.fault = plantFault && step == 150;
-            if (draw() % 4 == 0) {
-                twins.remove(key);
+            const std::string key =
+                kKinds[random() % 4] + std::string(1, static_cast<char>('a' + random() % 10));
+            pair.fault = injectFault && step == 150;
+            if (random() % 4 == 0) {
+                pair.remove(key);
             } else {
-                twins.put(key, resourceOf(key, 1 + static_cast<unsigned>(draw() % 3), draw() % 5 == 0));
+                pair.put(key, resourceOf(key, 1 + static_cast<unsigned>(random() % 3), random() % 5 == 0));
             }
-            twins.fault = false;
+            pair.fault = false;
         }
-        if (draw() % 6 == 0) twins.join(++last, draw() % 2 == 0 ? "north" : "south");
-        if (draw() % 12 == 0 && !twins.held.empty()) twins.leave(twins.held.begin()->first);
-        if (!twins.turn(now)) return false;
-        for (const auto& [proxy, paint] : twins.held) {
-            if (draw() % 3 == 0) twins.answer(proxy, draw() % (twins.open[proxy].size() + 1));
+        if (random() % 6 == 0) pair.join(++last, random() % 2 == 0 ? "north" : "south");
+        if (random() % 12 == 0 && !pair.held.empty()) pair.leave(pair.held.begin()->first);
+        if (!pair.turn(now)) return false;
+        for (const auto& [proxy, resources] : pair.held) {
+            if (random() % 3 == 0) pair.answer(proxy, random() % (pair.open[proxy].size() + 1));
         }
     }
     for (int calm = 0; calm < 80; ++calm) {
         now += 100000;
-        if (!twins.turn(now)) return false;
-        for (const auto& [proxy, paint] : twins.held) twins.answer(proxy, twins.open[proxy].size());
+        if (!pair.turn(now)) return false;
+        for (const auto& [proxy, resources] : pair.held) pair.answer(proxy, pair.open[proxy].size());
     }
-    return twins.everybodyHoldsAll();
+    return pair.allProxiesComplete();
 }
 
 }  // namespace
 
-TEST_CASE("A journal tells what changed since a position, once and no more", "[journal]") {
+TEST_CASE("A journal lists each key that changed after a position exactly once", "[journal]") {
     ChangeJournal<std::string> journal;
     journal.record("a");
     journal.record("b");
@@ -156,27 +157,27 @@
     journal.record("a");
     journal.record("a");
     CHECK(journal.changedAfter(position) == std::set<std::string>{"a", "c"});
-    CHECK(journal.size() == 3);  // each key once, however often it changed
+    CHECK(journal.size() == 3);  // one entry per key, however often it changed
     journal.trim(position);
     CHECK(journal.changedAfter(position) == std::set<std::string>{"a", "c"});
     journal.trim(journal.last());
     CHECK(journal.size() == 0);
 }
 
-TEST_CASE("By journal goes out what a full comparison finds, line by line", "[journal]") {
+TEST_CASE("A distributor with a journal sends what a full comparison finds", "[journal]") {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         INFO("seed " << seed);
-        REQUIRE(agreesOver(seed, false));
+        REQUIRE(agreeOnHistory(seed, false));
     }
 }
 
-TEST_CASE("A change that never reached the journal is found", "[journal]") {
+TEST_CASE("A change that is missing from the journal is detected", "[journal]") {
     int found = 0;
-    for (std::uint64_t seed = 1; seed <= 20; ++seed) found += agreesOver(seed, true) ? 0 : 1;
-    CHECK(found >= 10);  // not each history changes something in that step
+    for (std::uint64_t seed = 1; seed <= 20; ++seed) found += agreeOnHistory(seed, true) ? 0 : 1;
+    CHECK(found >= 10);  // not every history has a change in that step
 }
 
-TEST_CASE("One route's change is one line, made once for a zone", "[journal]") {
+TEST_CASE("A changed route is a single resource in a single batch for a zone", "[journal]") {
     ResourceDistributor distributor;
     for (int k = 0; k < 600; ++k) {
         const std::string key = "r host-" + std::to_string(k);
@@ -190,13 +191,13 @@
     CHECK(copies[0].lines.size() == 600);
     for (ProxyId proxy = 1; proxy <= kProxies; ++proxy) distributor.answered(proxy, copies[0].mark);
     CHECK(distributor.put("r host-7", resourceOf("r host-7", 2, false)));
-    CHECK_FALSE(distributor.put("r host-8", resourceOf("r host-8", 1, false)));  // nothing new
+    CHECK_FALSE(distributor.put("r host-8", resourceOf("r host-8", 1, false)));  // unchanged
     const auto change = distributor.turn(2000);
     REQUIRE(change.size() == 1);
     CHECK(change[0].lines.size() == 1);
     CHECK(change[0].proxies.size() == kProxies);
     CHECK(change[0].complete);
-    CHECK(distributor.nextDue() == 2000 + 500000);  // the wait for their answers
+    CHECK(distributor.nextDue() == 2000 + 500000);  // the acknowledgement timeout
 }
 
 }  // namespace marldale::distribution
--- a/tests/gateway/distribution_load_test.cpp
+++ b/tests/gateway/distribution_load_test.cpp
@@ -1,5 +1,5 @@
-// A controller's event loop under hundreds of changes, in virtual time: the real distributor, schedule and
-// slices, with a price for each step.
+// Simulates a controller's event loop under hundreds of changes in virtual time, with the real distributor,
+// schedule and slices and a cost for each step.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <deque>
@@ -16,17 +16,17 @@
 constexpr Micros kApply = 2000000, kHeartbeatEvery = 300000, kChangeEvery = 50000;
 constexpr std::size_t kProxies = 73, kRoutes = 600, kChanges = 300;
 
-// Time that steps take on a controller with 0.15 of a core, rounded up from what `make measure-capacity`
-// measures on a whole one.
-struct Prices {
-    Micros change = 10000;  // a text of 600 routes is read and compared
-    Micros turn = 500;      // of the distributor
-    Micros resource = 20;   // made into a batch, once for each batch
-    Micros frame = 100;     // handed to the kernel
-    Micros frameByte = 0;   // in nanoseconds
+// The duration of each step in microseconds on a controller with 0.15 of a core, rounded up from the results
+// of `make measure-capacity` on a whole core.
+struct StepCosts {
+    Micros change = 10000;  // parsing and comparing a text with 600 routes
+    Micros turn = 500;      // one turn of the distributor
+    Micros resource = 20;   // adding a resource to a batch
+    Micros frame = 100;     // passing a frame to the kernel
+    Micros frameByte = 0;   // nanoseconds per byte of a frame
     Micros acknowledgement = 150;
     Micros heartbeat = 1000;
-    Micros comparison = 0;  // of one resource for one proxy, each turn and change
+    Micros comparison = 0;  // of one resource for one proxy, in each turn and change
 };
 
 class VirtualLoop {
@@ -35,8 +35,8 @@
     void spend(Micros time) { now_ += time; }
     void post(std::function<void()> step) { ready_.push_back(std::move(step)); }
     void at(Micros due, std::function<void()> step) { later_.emplace(due, std::move(step)); }
-    // As an event loop does: what is ready runs in its order, and between two steps what has come joins its
-    // end.
+    // Runs ready steps in order, as an event loop does; steps that become due are appended between two
+    // steps.
     void runUntil(Micros end) {
         while (now_ < end) {
             while (!later_.empty() && later_.begin()->first <= now_) {
@@ -75,14 +75,14 @@
 
 class VirtualController : public DistributionHost {
 public:
-    VirtualController(const Prices& prices, Outbox::Slice slice)
-        : loop_(*this, kApply, slice), prices_(prices) {
+    VirtualController(const StepCosts& costs, Outbox::Slice slice)
+        : loop_(*this, kApply, slice), costs_(costs) {
         tries_.assign(kRoutes, 1);
         apply();
         armHeartbeat();
     }
 
-    // ---- what happens to it ----
+    // ---- Events ----
     void join() {
         const ProxyId proxy = ++lastProxy_;
         proxies_[proxy];
@@ -96,17 +96,17 @@
         distributor_.leave(proxy);
     }
     void change(std::size_t number) {
-        virtualLoop.spend(prices_.change);
+        virtualLoop.spend(costs_.change);
         compareAll();
         const std::size_t route = number * 7 % kRoutes;
         tries_[route] = 2 + static_cast<unsigned>(number);
         changes_.push_back({route, tries_[route], now()});
         apply();
     }
-    // Its proxies' answers get lost from now on.
+    // All further acknowledgements of the proxy are lost.
     void silence(ProxyId proxy) { silent_.insert(proxy); }
 
-    // ---- what is asked of it ----
+    // ---- Results ----
     Micros worstHeartbeat = 0;
     std::size_t frames = 0;
     VirtualLoop virtualLoop;
@@ -115,7 +115,7 @@
         for (const Change& change : changes_) {
             for (const auto& [proxy, held] : proxies_) {
                 const auto at = held.inForce.find({change.route, change.tries});
-                // A newer change of the same route, or a fresh copy, may have brought more at once.
+                // A later change of the same route or a fresh copy may have superseded this change.
                 Micros seen = at == held.inForce.end() ? INT64_MAX : at->second;
                 if (held.joinedAt > change.at) seen = 0;
                 for (const auto& [what, when] : held.inForce) {
@@ -148,7 +148,7 @@
         worstHeartbeat = std::max(worstHeartbeat, late);
         (void)lateness_.ran(nextHeartbeat_, now());
         nextHeartbeat_ = now() + kHeartbeatEvery;
-        virtualLoop.spend(prices_.heartbeat);
+        virtualLoop.spend(costs_.heartbeat);
         armHeartbeat();
     }
     void armHeartbeat() {
@@ -159,7 +159,7 @@
         virtualLoop.at(due, [this] { loop_.wake(); });
     }
     void compareAll() {
-        virtualLoop.spend(prices_.comparison * static_cast<Micros>(kRoutes * proxies_.size()));
+        virtualLoop.spend(costs_.comparison * static_cast<Micros>(kRoutes * proxies_.size()));
     }
     void apply() {
         const proto::BudgetResource budget;
@@ -170,10 +170,10 @@
         wakeAt(loop_.nextDue());
     }
     void distribute(Micros turn) override {
-        virtualLoop.spend(prices_.turn);
+        virtualLoop.spend(costs_.turn);
         compareAll();
         for (const ResourceDistributor::Batch& batch : distributor_.turn(turn)) {
-            virtualLoop.spend(prices_.resource * static_cast<Micros>(batch.lines.size()));
+            virtualLoop.spend(costs_.resource * static_cast<Micros>(batch.lines.size()));
             proto::ResourceBatch message;
             message.set_mark(batch.mark);
             for (const proto::Resource& line : batch.lines) *message.add_resources() = line;
@@ -186,25 +186,24 @@
     [[nodiscard]] Micros modulesDue() const override { return INT64_MAX; }
     void runModules(Micros /*now*/) override {}
     void send(const OutgoingFrame& frame) override {
-        virtualLoop.spend(prices_.frame +
-                          prices_.frameByte * static_cast<Micros>(frame.bytes->size()) / 1000);
+        virtualLoop.spend(costs_.frame + costs_.frameByte * static_cast<Micros>(frame.bytes->size()) / 1000);
         ++frames;
         const auto at = proxies_.find(frame.proxy);
         if (at == proxies_.end()) return;
         proto::ResourceBatch message;
         REQUIRE(message.ParseFromString(*frame.bytes));
-        constexpr Micros kWay = 2000;
-        if (at->second.joinedAt == 0) at->second.joinedAt = now() + kWay;
+        constexpr Micros kOneWayDelayUs = 2000;
+        if (at->second.joinedAt == 0) at->second.joinedAt = now() + kOneWayDelayUs;
         for (const proto::Resource& line : message.resources()) {
             if (!line.has_route()) continue;
             const auto route = static_cast<std::size_t>(std::stoul(line.route().host_name().substr(5)));
-            at->second.inForce.emplace(std::pair(route, line.route().tries()), now() + kWay);
+            at->second.inForce.emplace(std::pair(route, line.route().tries()), now() + kOneWayDelayUs);
         }
         if (silent_.count(frame.proxy) != 0) return;
-        // An edge proxy has a tenth of a core.
-        const Micros takes = 2 * kWay + static_cast<Micros>(draw_() % 40000);
-        virtualLoop.at(now() + takes, [this, proxy = frame.proxy, mark = message.mark()] {
-            virtualLoop.spend(prices_.acknowledgement);
+        // The delay includes the processing on an edge proxy with a tenth of a core.
+        const Micros delay = 2 * kOneWayDelayUs + static_cast<Micros>(random_() % 40000);
+        virtualLoop.at(now() + delay, [this, proxy = frame.proxy, mark = message.mark()] {
+            virtualLoop.spend(costs_.acknowledgement);
             distributor_.answered(proxy, mark);
             loop_.schedule.request(now());
             loop_.wake();
@@ -215,7 +214,7 @@
     ResourceDistributor distributor_;
     ConfigurationResources resources_{distributor_};
     DistributionLoop loop_;
-    Prices prices_;
+    StepCosts costs_;
     std::vector<unsigned> tries_;
     std::vector<Change> changes_;
     std::map<ProxyId, Proxy> proxies_;
@@ -223,7 +222,7 @@
     ProxyId lastProxy_ = 0;
     Micros nextHeartbeat_ = kHeartbeatEvery;
     log::LoopLateness lateness_;
-    std::mt19937_64 draw_{1};
+    std::mt19937_64 random_{1};
 };
 
 struct Outcome {
@@ -231,10 +230,10 @@
     std::size_t frames = 0;
 };
 
-// All proxies come at once; 20 changes a second follow; in their midst a third of the proxies comes again,
-// and one stops answering.
-Outcome hundredsOfChanges(const Prices& prices, Outbox::Slice slice) {
-    VirtualController controller(prices, slice);
+// All proxies join at once, then 20 changes per second follow. Meanwhile a third of the proxies reconnect and
+// one stops acknowledging.
+Outcome simulateChanges(const StepCosts& costs, Outbox::Slice slice) {
+    VirtualController controller(costs, slice);
     VirtualLoop& loop = controller.virtualLoop;
     for (std::size_t k = 0; k < kProxies; ++k) loop.at(1000, [&] { controller.join(); });
     constexpr Micros kFirstChange = 1000000;
@@ -252,45 +251,46 @@
             controller.lateness().worst(loop.now()), controller.frames};
 }
 
-// A slice, the longest of the other steps (a change), and the answers and calls that are ready beside it.
-constexpr Micros kLateAtMost = 50000;
+// The time for a slice, the longest other step (a change) and the acknowledgements and requests that are
+// ready.
+constexpr Micros kMaxHeartbeatDelayUs = 50000;
 
 }  // namespace
 
-TEST_CASE("Hundreds of changes are in force within apply, and no heartbeat waits for them", "[load]") {
-    const Outcome outcome = hundredsOfChanges({}, {});
+TEST_CASE("Hundreds of changes are in force within the apply time without delaying heartbeats", "[load]") {
+    const Outcome outcome = simulateChanges({}, {});
     CAPTURE(outcome.heartbeat, outcome.inForce, outcome.frames);
-    CHECK(outcome.heartbeat <= kLateAtMost);
+    CHECK(outcome.heartbeat <= kMaxHeartbeatDelayUs);
     CHECK(outcome.inForce <= kApply);
-    // Changes merge: fewer frames than half of one for each change and proxy.
+    // Changes are merged: fewer than half as many frames as changes times proxies.
     CHECK(outcome.frames < kChanges * kProxies / 2);
 }
 
-TEST_CASE("What starved a controller is found: comparing all for all proxies", "[load]") {
-    Prices prices;
-    prices.comparison = 3;  // microseconds: some 0.4 on a whole core
-    const Outcome outcome = hundredsOfChanges(prices, {});
+TEST_CASE("Comparing all resources for all proxies is detected as too slow", "[load]") {
+    StepCosts costs;
+    costs.comparison = 3;  // about 0.4 us on a whole core
+    const Outcome outcome = simulateChanges(costs, {});
     CAPTURE(outcome.heartbeat, outcome.inForce);
-    CHECK(outcome.heartbeat > kLateAtMost);
+    CHECK(outcome.heartbeat > kMaxHeartbeatDelayUs);
     CHECK(outcome.inForce > kApply);
 }
 
-TEST_CASE("Copies for all proxies in one piece are found to hold heartbeats up", "[load]") {
-    Prices prices;
-    prices.frame = 3000;  // large frames
-    const Outcome sliced = hundredsOfChanges(prices, {});
-    const Outcome whole = hundredsOfChanges(prices, {INT64_MAX / 2, SIZE_MAX});
-    CAPTURE(sliced.heartbeat, whole.heartbeat);
-    CHECK(sliced.heartbeat <= kLateAtMost);
-    CHECK(whole.heartbeat > kLateAtMost);
+TEST_CASE("Sending copies to all proxies without slices is detected to delay heartbeats", "[load]") {
+    StepCosts costs;
+    costs.frame = 3000;  // large frames
+    const Outcome sliced = simulateChanges(costs, {});
+    const Outcome unsliced = simulateChanges(costs, {INT64_MAX / 2, SIZE_MAX});
+    CAPTURE(sliced.heartbeat, unsliced.heartbeat);
+    CHECK(sliced.heartbeat <= kMaxHeartbeatDelayUs);
+    CHECK(unsliced.heartbeat > kMaxHeartbeatDelayUs);
 }
 
-TEST_CASE("Idle, a change goes out at once; under load, once in an interval", "[load]") {
+TEST_CASE("A change is distributed at once when idle and once per interval under load", "[load]") {
     DistributionSchedule schedule(kApply);
     CHECK(schedule.nextDue() == INT64_MAX);
     schedule.request(5000000);
     CHECK(schedule.due(5000000));
-    schedule.ran(5000000);
+    schedule.recordTurn(5000000);
     CHECK_FALSE(schedule.due(INT64_MAX - 1));
     schedule.request(5010000);
     CHECK_FALSE(schedule.due(5010000));
@@ -298,22 +298,22 @@
     CHECK(schedule.interval() * 10 <= kApply);
     schedule.requestUrgent(5020000);
     CHECK(schedule.due(5020000));
-    schedule.ran(5020000);
+    schedule.recordTurn(5020000);
     schedule.requestAt(5500000);
     CHECK(schedule.nextDue() == 5500000);
 }
 
-TEST_CASE("How late the loop was is the most over a window, and is reported seldom", "[load]") {
+TEST_CASE("The loop lateness is the maximum over a window and is reported at a limited rate", "[load]") {
     log::LoopLateness lateness({1000000, 50000, 200000});
     CHECK_FALSE(lateness.ran(100, 200).has_value());
     CHECK(lateness.worst(300) == 100);
     CHECK(lateness.ran(1000, 91000) == 90000);
     CHECK_FALSE(lateness.ran(100000, 180000).has_value());  // too soon after the last report
-    CHECK(lateness.ran(299000, 300000) == 80000);           // told later
+    CHECK(lateness.ran(299000, 300000) == 80000);           // reported later
     CHECK(lateness.worst(900000) == 90000);
-    CHECK(lateness.worst(1500000) == 90000);  // of the window before
+    CHECK(lateness.worst(1500000) == 90000);  // from the previous window
     CHECK(lateness.worst(3000000) == 0);
-    CHECK_FALSE(lateness.ran(3000000, 2999990).has_value());  // early is not late
+    CHECK_FALSE(lateness.ran(3000000, 2999990).has_value());  // early timers do not count as late
     CHECK(lateness.worst(3000000) == 0);
 }
 
--- a/tests/gateway/full_comparison_distributor.h
+++ b/tests/gateway/full_comparison_distributor.h
@@ -1,7 +1,7 @@
-// The distributor as it was before it kept a journal, as a reference: it compares every resource for every
-// proxy, each turn. In one place it differs from what stood: a proxy that is bound to a table gets what the
-// table holds, where it got what was wanted by then, also if the table had not been told of it yet. Such a
-// line was taken back from nobody if it changed back before the table's next push.
+// A reference implementation of the distributor without a journal, which compares every resource for every
+// proxy in each turn. A proxy that is bound to a table gets what the table holds, not the newest desired
+// resources: a resource that the table has not been pushed yet would never be revoked if it changed back
+// before the table's next push.
 #pragma once
 
 #include <map>
@@ -12,9 +12,10 @@
 
 namespace marldale::distribution {
 
+/// Determines what each proxy is sent by comparing all resources.
 class FullComparisonDistributor {
 public:
-    std::map<std::string, DesiredResource> wanted;
+    std::map<std::string, DesiredResource> desired;
 
     void join(ProxyId proxy, const std::string& zone) { joining_[proxy] = zone; }
     void leave(ProxyId proxy) {
@@ -43,7 +44,7 @@
         for (auto& [proxy, batch] : out_) {
             batch.fresh = joining_.count(proxy) != 0;
             std::map<std::string, Hash> hashes;
-            for (const auto& [key, line] : wanted) hashes[key] = line.hash;
+            for (const auto& [key, resource] : desired) hashes[key] = resource.hash;
             batch.complete = sent_[proxy] == hashes;
         }
         joining_.clear();
@@ -52,9 +53,9 @@
 
 private:
     struct Port {
-        FullComparisonDistributor& book;
+        FullComparisonDistributor& distributor;
         const std::map<std::string, DesiredResource>& wanted(const std::string& /*zone*/) const {
-            return book.wanted;
+            return distributor.desired;
         }
         static Hash hash(const DesiredResource& line) { return line.hash; }
         static double priority(const std::string& /*zone*/, const std::string& key,
@@ -70,30 +71,34 @@
         }
         static bool mayCopy(const std::set<ProxyId>& /*proxies*/) { return true; }
         void line(TableId table, const std::string& key, const DesiredResource* now) const {
-            for (const ProxyId proxy : book.tables_.tables.at(table).bound) book.send(proxy, key, now);
+            for (const ProxyId proxy : distributor.tables_.tables.at(table).bound)
+                distributor.send(proxy, key, now);
         }
         static void drop(TableId /*table*/) {}
         void bind(ProxyId proxy, TableId table) const {
-            const auto& target = book.tables_.tables.at(table);
-            auto& sent = book.sent_[proxy];
-            for (const auto& [key, line] : book.wanted) {
+            const auto& target = distributor.tables_.tables.at(table);
+            auto& sent = distributor.sent_[proxy];
+            for (const auto& [key, line] : distributor.desired) {
                 const auto has = sent.find(key);
                 const Hash held = target.held(key);
-                if (held != 0 && (has == sent.end() || has->second != held)) book.send(proxy, key, &line);
+                if (held != 0 && (has == sent.end() || has->second != held))
+                    distributor.send(proxy, key, &line);
             }
             std::vector<std::string> surplus;
             for (const auto& [key, hash] : sent) {
                 if (target.held(key) == 0) surplus.push_back(key);
             }
-            for (const std::string& key : surplus) book.send(proxy, key, nullptr);
+            for (const std::string& key : surplus) distributor.send(proxy, key, nullptr);
+        }
+        void wrote(ProxyId proxy, double /*lines*/) const {
+            distributor.out_[proxy].mark = distributor.tables_.turn;
         }
-        void wrote(ProxyId proxy, double /*lines*/) const { book.out_[proxy].mark = book.tables_.turn; }
     };
     void send(ProxyId proxy, const std::string& key, const DesiredResource* line) {
         auto& sent = sent_[proxy];
         if (line != nullptr) {
             sent[key] = line->hash;
-            out_[proxy].lines.push_back(line->line.SerializeAsString());
+            out_[proxy].lines.push_back(line->resource.SerializeAsString());
             return;
         }
         sent.erase(key);
--- a/tests/gateway/order_history_test.cpp
+++ b/tests/gateway/order_history_test.cpp
@@ -1,4 +1,4 @@
-// The register of orders: each identity is decided once, whatever the order of arrival.
+// Checks that each order identity is decided only once, whatever the sequence of arrivals.
 #include <algorithm>
 #include <array>
 #include <catch2/catch.hpp>
@@ -16,7 +16,7 @@
     return {builtOn, version, digestOf(bytes)};
 }
 
-// A register as the log's state machine has it.
+// An order history with the current version, as in the state machine of the replicated log.
 struct Register {
     explicit Register(OrderFaults faults = {}, OrderHistory::Limits limits = {}) : history(limits, faults) {}
     Verdict send(const OrderIdentity& order) {
@@ -27,7 +27,7 @@
         }
         return verdict;
     }
-    void viaSnapshot() {
+    void restoreFromSnapshot() {
         std::string bytes;
         history.encode(bytes);
         bytes::Reader from(bytes, bytes.size());
@@ -42,9 +42,9 @@
     std::vector<OrderIdentity> inForce;
 };
 
-// What must hold of all answers together. Returns what is broken, or nothing.
-std::optional<std::string> broken(const Register& result,
-                                  const std::map<OrderIdentity, std::vector<Verdict>>& answers) {
+// Checks the invariants over all answers; returns the violated one, or nothing.
+std::optional<std::string> findViolation(const Register& result,
+                                         const std::map<OrderIdentity, std::vector<Verdict>>& answers) {
     std::map<std::uint64_t, int> byVersion, byBase;
     for (const OrderIdentity& taken : result.inForce) {
         if (++byVersion[taken.version] > 1) return "two under one number";
@@ -63,25 +63,26 @@
     return std::nullopt;
 }
 
-// Two operators with two orders each, some under one number, some on a base that is still to come; each is
-// sent up to twice, in every order of arrival, with a snapshot at every place. Returns the first breach.
-std::optional<std::string> exploreArrivals(OrderFaults faults, std::size_t& histories) {
+// Two operators send two orders each, some with the same version, some on a base that is not current yet.
+// Each order is sent twice, in every sequence of arrivals, with a snapshot at every second position. Returns
+// the first violation.
+std::optional<std::string> exploreArrivals(OrderFaults faults, std::size_t& sequences) {
     const std::array<OrderIdentity, 4> orders = {order(1, 0, "first"), order(1, 0, "other"),
                                                  order(2, 1, "next"), order(2, 1, "other next")};
     std::vector<std::size_t> arrivals = {0, 0, 1, 1, 2, 2, 3, 3};
     do {
-        // No snapshot, or one at each second place.
+        // At 0 there is no snapshot.
         for (std::size_t snapshotAt = 0; snapshotAt <= arrivals.size(); snapshotAt += 2) {
-            ++histories;
+            ++sequences;
             Register result(faults);
             std::map<OrderIdentity, std::vector<Verdict>> answers;
             for (std::size_t at = 0; at < arrivals.size(); ++at) {
                 if (snapshotAt != 0 && at == snapshotAt && faults.forgetsTaken == false &&
                     !faults.forgetsRefused && !faults.ignoresDigest)
-                    result.viaSnapshot();
+                    result.restoreFromSnapshot();
                 answers[orders[arrivals[at]]].push_back(result.send(orders[arrivals[at]]));
             }
-            if (auto breach = broken(result, answers)) return breach;
+            if (auto violation = findViolation(result, answers)) return violation;
         }
     } while (std::next_permutation(arrivals.begin(), arrivals.end()));
     return std::nullopt;
@@ -89,26 +90,26 @@
 
 }  // namespace
 
-TEST_CASE("Two operators under one number: every order of arrival keeps each answer", "[orders]") {
-    std::size_t histories = 0;
-    CHECK(exploreArrivals({}, histories) == std::nullopt);
-    CHECK(histories == 2520 * 5);
+TEST_CASE("Two operators with the same version get consistent answers in every sequence", "[orders]") {
+    std::size_t sequences = 0;
+    CHECK(exploreArrivals({}, sequences) == std::nullopt);
+    CHECK(sequences == 2520 * 5);
 }
 
-TEST_CASE("The exhaustive arrivals find each planted fault of the register", "[orders]") {
-    std::size_t histories = 0;
+TEST_CASE("The exhaustive sequences detect each injected fault of the history", "[orders]") {
+    std::size_t sequences = 0;
     OrderFaults faults;
     faults.forgetsTaken = true;
-    CHECK(exploreArrivals(faults, histories).has_value());
+    CHECK(exploreArrivals(faults, sequences).has_value());
     faults = {};
     faults.forgetsRefused = true;
-    CHECK(exploreArrivals(faults, histories).has_value());
+    CHECK(exploreArrivals(faults, sequences).has_value());
     faults = {};
     faults.ignoresDigest = true;
-    CHECK(exploreArrivals(faults, histories).has_value());
+    CHECK(exploreArrivals(faults, sequences).has_value());
 }
 
-TEST_CASE("An order that was taken is confirmed again after thousands of others", "[orders]") {
+TEST_CASE("An accepted order is confirmed again after thousands of others", "[orders]") {
     constexpr std::uint64_t kOthers = 5000;
     Register result;
     const OrderIdentity first = order(1, 0, "first");
@@ -117,36 +118,36 @@
         REQUIRE(result.send(order(version, version - 1, "text")) == Verdict::taken);
     CHECK(result.send(first) == Verdict::already);
     CHECK(result.send(order(1, 0, "other")) == Verdict::stale);
-    result.viaSnapshot();
+    result.restoreFromSnapshot();
     CHECK(result.send(first) == Verdict::already);
     CHECK(result.send(order(2, 1, "text")) == Verdict::already);
 }
 
-TEST_CASE("Beyond the bound an order is neither confirmed nor refused", "[orders]") {
+TEST_CASE("An order whose record was dropped is neither confirmed nor refused", "[orders]") {
     OrderHistory::Limits limits;
     limits.taken = 100;
     Register result({}, limits);
     for (std::uint64_t version = 1; version <= 300; ++version)
         REQUIRE(result.send(order(version, version - 1, "text")) == Verdict::taken);
-    CHECK(result.history.takenKept() == 100);
+    CHECK(result.history.takenCount() == 100);
     CHECK(result.send(order(200, 199, "text")) == Verdict::undecided);
     CHECK(result.send(order(201, 200, "text")) == Verdict::already);
 }
 
-TEST_CASE("A refused order stays refused when its base comes into force", "[orders]") {
+TEST_CASE("A refused order stays refused when its base becomes current", "[orders]") {
     Register result;
     const OrderIdentity early = order(9, 5, "early");
     CHECK(result.send(early) == Verdict::stale);
     REQUIRE(result.send(order(5, 0, "base")) == Verdict::taken);
     CHECK(result.send(early) == Verdict::stale);
-    result.viaSnapshot();
+    result.restoreFromSnapshot();
     CHECK(result.send(early) == Verdict::stale);
-    // The same wish as another order is taken.
+    // The same change as a different order is accepted.
     CHECK(result.send(order(9, 5, "early, written anew")) == Verdict::taken);
-    CHECK(result.history.refusedKept() == 0);
+    CHECK(result.history.refusedCount() == 0);
 }
 
-TEST_CASE("Refusals that can't be remembered aren't given", "[orders]") {
+TEST_CASE("An order is not refused if the refusal cannot be remembered", "[orders]") {
     OrderHistory::Limits limits;
     limits.refused = 3;
     Register result({}, limits);
@@ -156,14 +157,14 @@
     CHECK(result.send(order(1, 0, "first")) == Verdict::taken);
 }
 
-TEST_CASE("An order that makes no sense is invalid whatever is current", "[orders]") {
+TEST_CASE("An inconsistent order is invalid whatever version is current", "[orders]") {
     Register result;
     CHECK(result.send(order(3, 3, "same")) == Verdict::invalid);
     CHECK(result.send(order(2, 3, "below")) == Verdict::invalid);
     CHECK(result.send(order(0, 0, "none")) == Verdict::invalid);
 }
 
-TEST_CASE("A history that isn't whole isn't taken over", "[orders]") {
+TEST_CASE("An incomplete encoded history is not applied", "[orders]") {
     Register result;
     REQUIRE(result.send(order(1, 0, "first")) == Verdict::taken);
     REQUIRE(result.send(order(9, 5, "early")) == Verdict::stale);
@@ -174,7 +175,7 @@
         OrderHistory other;
         other.decode(from);
         CHECK_FALSE(from.good());
-        CHECK(other.takenKept() == 0);
+        CHECK(other.takenCount() == 0);
     }
 }
 
--- a/tests/gateway/view_lease_test.cpp
+++ b/tests/gateway/view_lease_test.cpp
@@ -1,5 +1,5 @@
-// Leases on views: a proxy chooses no server by a view that may be too old, and a controller counts on it
-// (incident DRAIN, issue 39).
+// Leases on views: a proxy does not choose servers from a view that may be outdated, and controllers rely on
+// that (incident DRAIN, issue 39).
 #include "gateway/upstream/view_lease.h"
 
 #include <catch2/catch.hpp>
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("Servers are chosen while the view is proven, and where nobody is bound", "[view_lease]") {
+TEST_CASE("Servers are chosen while the view is proven, and while unbound", "[view_lease]") {
     ViewLease lease(kLease, kSilent);
     CHECK(lease.mayChoose(0));
     CHECK(lease.mayChoose(100 * kSecond));
@@ -42,31 +42,32 @@
     CHECK(lease.mayChoose(60 * kSecond));
 }
 
-TEST_CASE("A view that is proven too late chooses no server, one that is cut off serves on", "[view_lease]") {
+TEST_CASE("An outdated view chooses no server, but a disconnected proxy keeps serving", "[view_lease]") {
     ViewLease lease = boundAt(10 * kSecond);
-    // Heartbeats go on coming, from ever longer ago: the link is full.
+    // Heartbeats arrive with a growing delay, as on a congested link.
     const auto provenUntil = [](Micros now) { return 10 * kSecond + (now - 10 * kSecond) / 4; };
     for (Micros now = 10 * kSecond; now <= 13 * kSecond; now += 300 * kMs) {
         lease.heard(now);
         lease.proven(provenUntil(now));
         CHECK(lease.mayChoose(now) == (now - provenUntil(now) < kLease));
     }
-    // Nothing comes at all.
+    // No heartbeats arrive at all.
     CHECK_FALSE(lease.mayChoose(13 * kSecond));
     CHECK(lease.mayChoose(13 * kSecond + kSilent));
-    // Nor is it held up for good by a controller that proves nothing.
+    // A controller that proves nothing does not block the proxy forever.
     lease.heard(13 * kSecond + kSilent);
     CHECK(lease.mayChoose(provenUntil(13 * kSecond) + 2 * kLease));
 }
 
-TEST_CASE("After another controller is bound its fresh copy is waited for, within bounds", "[view_lease]") {
+TEST_CASE("After binding to another controller its fresh copy is awaited for a limited time",
+          "[view_lease]") {
     ViewLease lease = boundAt(10 * kSecond);
     lease.bound(20 * kSecond);
     CHECK_FALSE(lease.mayChoose(20 * kSecond));
-    lease.proven(20 * kSecond + 100 * kMs);  // a heartbeat says nothing of a copy that hasn't come
+    lease.proven(20 * kSecond + 100 * kMs);  // a heartbeat does not replace the missing copy
     lease.heard(20 * kSecond + 900 * kMs);
     CHECK_FALSE(lease.mayChoose(21 * kSecond));
-    // One after the other has none to give: no majority is there, and nobody can leave.
+    // No controller sends a copy: without a majority no server can depart.
     lease.bound(21 * kSecond);
     CHECK_FALSE(lease.mayChoose(21 * kSecond));
     CHECK(lease.mayChoose(20 * kSecond + kLease));
@@ -106,37 +107,37 @@
     CHECK(roomAt(10 * kSecond + kLease) == upstream::Room::found);
 }
 
-TEST_CASE("A turn is passed once all proxies have answered it, or their leases have run out",
+TEST_CASE("A turn is passed once all proxies have acknowledged it or their leases have expired",
           "[view_lease]") {
     DistributionBarrier barrier(kLease);
     std::vector<int> passed;
-    const auto note = [&passed](int which) { return [&passed, which] { passed.push_back(which); }; };
+    const auto record = [&passed](int which) { return [&passed, which] { passed.push_back(which); }; };
     barrier.update(0, 4, DistributionBarrier::kNoTurn);
-    barrier.wait(5, 0, note(5));
-    barrier.wait(7, 0, note(7));
+    barrier.wait(5, 0, record(5));
+    barrier.wait(7, 0, record(7));
     barrier.update(10 * kMs, 4, DistributionBarrier::kNoTurn);
-    CHECK(passed.empty());  // nobody has answered, but nothing has left yet
+    CHECK(passed.empty());  // nothing is unacknowledged, but nothing has been sent yet
     barrier.update(20 * kMs, 6, 5);
     CHECK(passed.empty());
     CHECK(barrier.nextDue() == 20 * kMs + kLease);
-    barrier.update(30 * kMs, 6, 6);  // 6 is open, 5 was answered by all
+    barrier.update(30 * kMs, 6, 6);  // 6 is outstanding, 5 was acknowledged by all
     CHECK(passed == std::vector<int>{5});
     barrier.update(40 * kMs, 7, 6);
     CHECK(passed.size() == 1);
-    // Asked again, it is judged by when the turn's frames left, not by when it was asked.
-    barrier.wait(6, kSecond, note(6));
+    // The lease counts from when the turn's frames were sent, not from the call of `wait`.
+    barrier.wait(6, kSecond, record(6));
     barrier.update(20 * kMs + kLease, 7, 6);
     CHECK(passed == std::vector<int>{5, 6});
     barrier.update(40 * kMs + kLease, 7, 6);
     CHECK(passed == std::vector<int>{5, 6, 7});
     CHECK(barrier.nextDue() == INT64_MAX);
-    // An old turn is passed at once.
-    barrier.wait(3, 3 * kSecond, note(3));
+    // An earlier turn is passed immediately.
+    barrier.wait(3, 3 * kSecond, record(3));
     barrier.update(3 * kSecond, 7, 3);
     CHECK(passed.back() == 3);
 }
 
-TEST_CASE("What waits for a turn that never leaves is forgotten", "[view_lease]") {
+TEST_CASE("A callback for a turn that is never sent is dropped", "[view_lease]") {
     DistributionBarrier barrier(kLease);
     bool called = false;
     barrier.wait(1, 0, [&called] { called = true; });
@@ -147,11 +148,11 @@
     CHECK_FALSE(called);
 }
 
-TEST_CASE("Urgent turns merge what comes within a fifth of the interval", "[view_lease]") {
+TEST_CASE("Urgent changes within a fifth of the interval are merged", "[view_lease]") {
     distribution::DistributionSchedule schedule(2 * kSecond);
     schedule.requestUrgent(kSecond);
     CHECK(schedule.due(kSecond));
-    schedule.ran(kSecond);
+    schedule.recordTurn(kSecond);
     schedule.requestUrgent(kSecond + 1);
     CHECK(schedule.nextDue() == kSecond + schedule.interval() / 5);
     schedule.requestUrgent(3 * kSecond);
