--- a/tests/gateway/full_comparison_distributor.h
+++ b/tests/gateway/full_comparison_distributor.h
@@ -1,7 +1,7 @@
-// The distributor as it was before it kept a journal, as a reference: it compares every resource for every
-// proxy, each turn. In one place it differs from what stood: a proxy that is bound to a table gets what the
-// table holds, where it got what was wanted by then, also if the table had not been told of it yet. Such a
-// line was taken back from nobody if it changed back before the table's next push.
+// A reference implementation of the distributor without a journal, which compares every resource for every
+// proxy in each turn. A proxy that is bound to a table gets what the table holds, not the newest desired
+// resources: a resource that the table has not been pushed yet would never be revoked if it changed back
+// before the table's next push.
 #pragma once
 
 #include <map>
@@ -12,9 +12,10 @@
 
 namespace marldale::distribution {
 
+/// Determines what each proxy is sent by comparing all resources.
 class FullComparisonDistributor {
 public:
-    std::map<std::string, Wanted> wanted;
+    std::map<std::string, DesiredResource> desired;
 
     void join(ProxyId proxy, const std::string& zone) { joining_[proxy] = zone; }
     void leave(ProxyId proxy) {
@@ -26,7 +27,7 @@
 
     struct Batch {
         std::uint64_t mark = 0;
-        bool fresh = false, whole = false;
+        bool fresh = false, complete = false;
         std::vector<std::string> lines;  // serialized
     };
     std::map<ProxyId, Batch> turn(Micros now) {
@@ -43,8 +44,8 @@
         for (auto& [proxy, batch] : out_) {
             batch.fresh = joining_.count(proxy) != 0;
             std::map<std::string, Hash> hashes;
-            for (const auto& [key, line] : wanted) hashes[key] = line.hash;
-            batch.whole = sent_[proxy] == hashes;
+            for (const auto& [key, resource] : desired) hashes[key] = resource.hash;
+            batch.complete = sent_[proxy] == hashes;
         }
         joining_.clear();
         return std::exchange(out_, {});
@@ -52,11 +53,13 @@
 
 private:
     struct Port {
-        FullComparisonDistributor& book;
-        const std::map<std::string, Wanted>& wanted(const std::string& /*zone*/) const { return book.wanted; }
-        static Hash hash(const Wanted& line) { return line.hash; }
-        static double priority(const std::string& /*zone*/, const std::string& key, const Wanted* now,
-                               Hash /*held*/) {
+        FullComparisonDistributor& distributor;
+        const std::map<std::string, DesiredResource>& wanted(const std::string& /*zone*/) const {
+            return distributor.desired;
+        }
+        static Hash hash(const DesiredResource& line) { return line.hash; }
+        static double priority(const std::string& /*zone*/, const std::string& key,
+                               const DesiredResource* now, Hash /*held*/) {
             const bool urgent = now != nullptr ? now->urgent : key[0] == 'v' || key[0] == 'z';
             if (urgent) return policy::kUrgentPriority;
             return key[0] == 'v' ? 0 : 1;
@@ -67,31 +70,35 @@
             return true;
         }
         static bool mayCopy(const std::set<ProxyId>& /*proxies*/) { return true; }
-        void line(TableId table, const std::string& key, const Wanted* now) const {
-            for (const ProxyId proxy : book.tables_.tables.at(table).bound) book.send(proxy, key, now);
+        void line(TableId table, const std::string& key, const DesiredResource* now) const {
+            for (const ProxyId proxy : distributor.tables_.tables.at(table).bound)
+                distributor.send(proxy, key, now);
         }
         static void drop(TableId /*table*/) {}
         void bind(ProxyId proxy, TableId table) const {
-            const auto& target = book.tables_.tables.at(table);
-            auto& sent = book.sent_[proxy];
-            for (const auto& [key, line] : book.wanted) {
+            const auto& target = distributor.tables_.tables.at(table);
+            auto& sent = distributor.sent_[proxy];
+            for (const auto& [key, line] : distributor.desired) {
                 const auto has = sent.find(key);
                 const Hash held = target.held(key);
-                if (held != 0 && (has == sent.end() || has->second != held)) book.send(proxy, key, &line);
+                if (held != 0 && (has == sent.end() || has->second != held))
+                    distributor.send(proxy, key, &line);
             }
             std::vector<std::string> surplus;
             for (const auto& [key, hash] : sent) {
                 if (target.held(key) == 0) surplus.push_back(key);
             }
-            for (const std::string& key : surplus) book.send(proxy, key, nullptr);
+            for (const std::string& key : surplus) distributor.send(proxy, key, nullptr);
+        }
+        void wrote(ProxyId proxy, double /*lines*/) const {
+            distributor.out_[proxy].mark = distributor.tables_.turn;
         }
-        void wrote(ProxyId proxy, double /*lines*/) const { book.out_[proxy].mark = book.tables_.turn; }
     };
-    void send(ProxyId proxy, const std::string& key, const Wanted* line) {
+    void send(ProxyId proxy, const std::string& key, const DesiredResource* line) {
         auto& sent = sent_[proxy];
         if (line != nullptr) {
             sent[key] = line->hash;
-            out_[proxy].lines.push_back(line->line.SerializeAsString());
+            out_[proxy].lines.push_back(line->resource.SerializeAsString());
             return;
         }
         sent.erase(key);
@@ -104,7 +111,8 @@
     }
 
     Port port_{*this};
-    policy::Distribution<std::string, Wanted, std::string, ProxyId, Port> tables_{port_, 500000, 2000000};
+    policy::Distribution<std::string, DesiredResource, std::string, ProxyId, Port> tables_{port_, 500000,
+                                                                                           2000000};
     std::map<ProxyId, std::string> joining_;
     std::map<ProxyId, std::map<std::string, Hash>> sent_;
     std::map<ProxyId, Batch> out_;
