--- a/bench/gateway/live_edge_proxy.cpp
+++ b/bench/gateway/live_edge_proxy.cpp
@@ -129,7 +129,7 @@
             *line = serverLine(k, 50);
             line->set_address(server.address());
         }
-        if (!tables.obey(orders, 1)) throw std::runtime_error("the tables were not taken");
+        if (!tables.apply(orders, 1)) throw std::runtime_error("the tables were not taken");
         carrier->tablesChanged();
         std::thread thread([&] { loop.run(); });
         clockid_t clock{};
--- a/bench/gateway/packages.cpp
+++ b/bench/gateway/packages.cpp
@@ -67,11 +67,11 @@
         const auto size = static_cast<double>(n);
         const double before = heapBytes();
         upstream::Tables tables;
-        tables.obey(orders, 1);
+        tables.apply(orders, 1);
         memory.push_back({size, heapBytes() - before});
         seconds.push_back({size, 1e6 * leastOf(3, [&] {
                                      upstream::Tables other;
-                                     other.obey(orders, 1);
+                                     other.apply(orders, 1);
                                  })});
         bytes.push_back({size, static_cast<double>(orders.ByteSizeLong())});
         constexpr std::size_t kLookups = 20000;
@@ -98,16 +98,16 @@
         const proto::ResourceBatch lines = serverOrders(n), tablesOf = weightOrders(n);
         double before = heapBytes();
         upstream::Tables tables;
-        tables.obey(lines, 1);
+        tables.apply(lines, 1);
         memory.push_back({size, heapBytes() - before});
         seconds.push_back({size, 1e6 * leastOf(3, [&] {
                                      upstream::Tables other;
-                                     other.obey(lines, 1);
+                                     other.apply(lines, 1);
                                  })});
         bytes.push_back({size, static_cast<double>(lines.ByteSizeLong())});
         before = heapBytes();
         const auto fill = [&] {
-            tables.obey(tablesOf, 2);
+            tables.apply(tablesOf, 2);
             for (std::size_t k = 0; k < servicesOf(n); ++k) {
                 upstream::Route route;
                 route.shares = {{serviceName(k), 1}};
@@ -152,7 +152,7 @@
         }
         const double before = heapBytes();
         upstream::Tables tables;
-        tables.obey(orders, 1);
+        tables.apply(orders, 1);
         memory.push_back({static_cast<double>(n), heapBytes() - before});
         bytes.push_back({static_cast<double>(n), static_cast<double>(orders.ByteSizeLong())});
     }
@@ -177,7 +177,7 @@
         bind->set_service(serviceName(0));
         bind->set_table(1);
         upstream::Tables tables;
-        tables.obey(orders, 1);
+        tables.apply(orders, 1);
         upstream::Route route;
         route.shares = {{serviceName(0), 1}};
         upstream::Service& service = tables.serviceOf(route);
--- a/src/gateway/edge_proxy/binding.cpp
+++ b/src/gateway/edge_proxy/binding.cpp
@@ -196,7 +196,7 @@
     if (frame.has_batch()) {
         const proto::ResourceBatch& batch = frame.batch();
         if (batch.fresh()) ends_.view.copied();
-        if (!ends_.obey(batch, now)) return leave(LeaveReason::olderConfiguration);
+        if (!ends_.applyBatch(batch, now)) return leave(LeaveReason::olderConfiguration);
         if (batch.mark() != 0) {
             proto::Frame answer;
             answer.mutable_answer()->set_mark(batch.mark());
--- a/src/gateway/edge_proxy/binding.h
+++ b/src/gateway/edge_proxy/binding.h
@@ -27,7 +27,7 @@
 public:
     struct Ends {
         // Takes a batch; false: it is older than what is held.
-        std::function<bool(const proto::ResourceBatch&, Micros)> obey;
+        std::function<bool(const proto::ResourceBatch&, Micros)> applyBatch;
         std::function<std::uint64_t()> index;  // of the configuration that is held
         std::function<proto::LoadReport(Micros)> sums;
         upstream::ViewLease& view;
--- a/src/gateway/edge_proxy/controller_selection.cpp
+++ b/src/gateway/edge_proxy/controller_selection.cpp
@@ -12,7 +12,7 @@
 SelectionLimits selectionLimits(const settings::Bounds& bounds) {
     SelectionLimits out;
     out.contact = settings::quorumContactLimit(bounds);
-    out.silent = bounds.apply * 11 / 20;
+    out.maxSilence = bounds.apply * 11 / 20;
     out.stranded = bounds.apply * 5 / 4;
     out.unproven = bounds.apply / 5;
     out.lateLoop = bounds.apply * 3 / 10;
@@ -118,7 +118,7 @@
 std::optional<LeaveReason> ControllerSelection::check(Micros now, Micros heardAt) {
     if (now - std::exchange(checkedAt_, now) > limits_.lateLoop) patienceUntil_ = now + limits_.unproven;
     if (now < patienceUntil_) return std::nullopt;
-    if (now - heardAt > limits_.silent) return LeaveReason::silent;
+    if (now - heardAt > limits_.maxSilence) return LeaveReason::silent;
     if (faults_.staysWithoutProof) return std::nullopt;
     if (proven(now)) return std::nullopt;
     const Micros patience = toldNoContact_ ? limits_.unproven : limits_.contact;
--- a/src/gateway/edge_proxy/controller_selection.h
+++ b/src/gateway/edge_proxy/controller_selection.h
@@ -28,7 +28,7 @@
 
 struct SelectionLimits {
     Micros contact = 1200000;   // an older proof of contact with a majority: the controller is left
-    Micros silent = 1100000;    // nothing at all came for so long
+    Micros maxSilence = 1100000;    // nothing at all came for so long
     Micros stranded = 2500000;  // no proof from anyone: what is held may be old
     Micros unproven =
         400000;  // a new controller that itself tells of a contact of long ago is left after this
--- a/src/gateway/edge_proxy/forwarder_impl.h
+++ b/src/gateway/edge_proxy/forwarder_impl.h
@@ -31,7 +31,7 @@
     absl::Status listen(boost::asio::io_context& context);
     void accept(std::unique_ptr<http_server::ByteStream> stream);
     void tablesChanged();
-    void stranded(bool is);
+    void setIsolated(bool isIsolated);
     void terminate(std::function<void()> done);
     proto::LoadReport takeLoadReport(Micros now);
     void shutDown();
--- a/src/gateway/edge_proxy/request_forwarder.cpp
+++ b/src/gateway/edge_proxy/request_forwarder.cpp
@@ -106,9 +106,9 @@
     for (upstream::Service* service : waiting_.services()) wakeWaitingLater(*service);
 }
 
-void RequestForwarder::Impl::stranded(bool is) {
-    if (tables_.stranded() == is) return;
-    tables_.strand(is);
+void RequestForwarder::Impl::setIsolated(bool isIsolated) {
+    if (tables_.isolated() == isIsolated) return;
+    tables_.setIsolated(isIsolated);
     for (upstream::Service* service : waiting_.services()) wakeWaitingLater(*service);
 }
 
@@ -201,7 +201,7 @@
     impl_->accept(std::move(stream));
 }
 void RequestForwarder::tablesChanged() { impl_->tablesChanged(); }
-void RequestForwarder::stranded(bool is) { impl_->stranded(is); }
+void RequestForwarder::setIsolated(bool isIsolated) { impl_->setIsolated(isIsolated); }
 void RequestForwarder::terminate(std::function<void()> done) { impl_->terminate(std::move(done)); }
 proto::LoadReport RequestForwarder::takeLoadReport(Micros now) { return impl_->takeLoadReport(now); }
 unsigned short RequestForwarder::frontPort() const { return impl_->frontPort(); }
--- a/src/gateway/edge_proxy/request_forwarder.h
+++ b/src/gateway/edge_proxy/request_forwarder.h
@@ -46,10 +46,10 @@
     void accept(std::unique_ptr<http_server::ByteStream> stream);
     // Front and readiness. Invalid argument: no address; unavailable: it can't be listened on.
     absl::Status listen();
-    // After `Tables::obey`: connections to servers that are gone are closed, what waits is looked at again.
+    // After `Tables::apply`: connections to servers that are gone are closed, what waits is looked at again.
     void tablesChanged();
     // No controller for a while: every server may be cold, budgets shrink.
-    void stranded(bool is);
+    void setIsolated(bool isIsolated);
     // Serves on until the platform has stopped sending, finishes what is under way, then calls `done`;
     // shortly before `grace` ends in any case.
     void terminate(std::function<void()> done);
--- a/src/gateway/program/program.cpp
+++ b/src/gateway/program/program.cpp
@@ -135,7 +135,7 @@
     boost::asio::io_context io(1);
     upstream::Tables tables;
     tables.view() = upstream::ViewLease(settings::viewLease(settings.bounds),
-                                        edge_proxy::selectionLimits(settings.bounds).silent);
+                                        edge_proxy::selectionLimits(settings.bounds).maxSilence);
     edge_proxy::ForwarderSettings rules;
     rules.front = settings.front;
     rules.readiness = settings.readiness;
@@ -154,12 +154,12 @@
     edge_proxy::Binding binding(
         io, settings,
         {[&](const gateway::proto::ResourceBatch& orders, Micros now) {
-             if (!tables.obey(orders, now)) return false;
+             if (!tables.apply(orders, now)) return false;
              forwarder.tablesChanged();
              return true;
          },
          [&] { return tables.index(); }, [&](Micros now) { return forwarder.takeLoadReport(now); },
-         tables.view(), [&](bool is) { forwarder.stranded(is); }});
+         tables.view(), [&](bool is) { forwarder.setIsolated(is); }});
     if (auto s = forwarder.listen(); !s.ok()) return fault("cannot_start", s);
     if (auto s = binding.start(); !s.ok()) return fault("cannot_start", s);
     const Signals signals(
--- a/src/gateway/upstream/tables.cpp
+++ b/src/gateway/upstream/tables.cpp
@@ -73,10 +73,10 @@
     return *services_.emplace(std::string(name), std::move(made)).first->second;
 }
 
-bool Tables::obey(const proto::ResourceBatch& orders, Micros now) {
+bool Tables::apply(const proto::ResourceBatch& orders, Micros now) {
     if (orders.index() != 0 && orders.index() < index_) return false;
     if (orders.fresh()) clear(orders.servers_whole());
-    for (const proto::Resource& line : orders.resources()) obeyLine(line, now);
+    for (const proto::Resource& line : orders.resources()) applyLine(line, now);
     if (orders.servers_whole() && !orders.fresh()) dropUnconfirmed();
     if (orders.index() != 0) index_ = orders.index();
     return true;
@@ -130,7 +130,7 @@
     servers_.erase(at);
 }
 
-void Tables::obeyServer(const proto::ServerResource& line, Micros now) {
+void Tables::applyServer(const proto::ServerResource& line, Micros now) {
     const auto at = servers_.find(line.id());
     // An id that moved or serves something else now is another server; what is held of it ends.
     if (at != servers_.end() &&
@@ -156,7 +156,7 @@
     relist(*server);
 }
 
-void Tables::obeyRoute(const proto::RouteResource& line) {
+void Tables::applyRoute(const proto::RouteResource& line) {
     auto route = std::make_shared<Route>();
     route->kind = kindOf(line.kind());
     route->target = line.target();
@@ -177,13 +177,13 @@
     if (host->second.empty()) hosts_.erase(host);
 }
 
-void Tables::obeyService(const proto::ServiceResource& line) {
+void Tables::applyService(const proto::ServiceResource& line) {
     Service& of = service(line.name());
     of.configured = true;
     of.warmUp = line.warm_up();
 }
 
-void Tables::obeyLimits(const proto::LimitsResource& line) {
+void Tables::applyLimits(const proto::LimitsResource& line) {
     limits_ = Limits{};  // what isn't told is as at first
     if (line.max_header_bytes() > 0) limits_.maxHeaderBytes = line.max_header_bytes();
     if (line.max_body_bytes() > 0) limits_.maxBodyBytes = line.max_body_bytes();
@@ -191,7 +191,7 @@
     if (line.quiet() > 0) limits_.quiet = line.quiet();
 }
 
-void Tables::obeyWeight(const proto::WeightResource& line) {
+void Tables::applyWeight(const proto::WeightResource& line) {
     Service& of = service(line.service());
     auto& table = of.tables[line.table()];
     if (line.weight() > 0) {
@@ -210,7 +210,7 @@
     of.stale = true;
 }
 
-void Tables::obeyBind(const proto::TableBind& line) {
+void Tables::applyBind(const proto::TableBind& line) {
     Service& of = service(line.service());
     for (std::size_t k = 0; k < kKinds; ++k) {
         const Kind kind = static_cast<Kind>(k);
@@ -222,7 +222,7 @@
     of.stale = true;
 }
 
-void Tables::obeyLevel(const proto::LevelResource& line) {
+void Tables::applyLevel(const proto::LevelResource& line) {
     Service& of = service(line.service());
     auto at = std::find_if(of.levels.begin(), of.levels.end(), [&line](const Service::Level& level) {
         return level.table == line.table() && level.classes == line.classes();
@@ -234,7 +234,7 @@
     at->limit = line.limit();
 }
 
-void Tables::obeyBudget(const proto::BudgetResource& line) {
+void Tables::applyBudget(const proto::BudgetResource& line) {
     Service& of = service(line.service());
     of.budget.set({line.per_request(), line.per_s(), line.burst()});
     of.budgetTold = true;
@@ -257,20 +257,20 @@
     }
 }
 
-void Tables::obeyLine(const proto::Resource& line, Micros now) {
+void Tables::applyLine(const proto::Resource& line, Micros now) {
     switch (line.what_case()) {
-        case proto::Resource::kRoute: obeyRoute(line.route()); break;
+        case proto::Resource::kRoute: applyRoute(line.route()); break;
         case proto::Resource::kRouteDrop: dropRoute(line.route_drop()); break;
-        case proto::Resource::kService: obeyService(line.service()); break;
+        case proto::Resource::kService: applyService(line.service()); break;
         case proto::Resource::kServiceDrop: service(line.service_drop()).configured = false; break;
-        case proto::Resource::kLimits: obeyLimits(line.limits()); break;
-        case proto::Resource::kServer: obeyServer(line.server(), now); break;
+        case proto::Resource::kLimits: applyLimits(line.limits()); break;
+        case proto::Resource::kServer: applyServer(line.server(), now); break;
         case proto::Resource::kServerDrop: dropServer(line.server_drop()); break;
-        case proto::Resource::kWeight: obeyWeight(line.weight()); break;
+        case proto::Resource::kWeight: applyWeight(line.weight()); break;
         case proto::Resource::kTableDrop: dropTable(line.table_drop()); break;
-        case proto::Resource::kBind: obeyBind(line.bind()); break;
-        case proto::Resource::kLevel: obeyLevel(line.level()); break;
-        case proto::Resource::kBudget: obeyBudget(line.budget()); break;
+        case proto::Resource::kBind: applyBind(line.bind()); break;
+        case proto::Resource::kLevel: applyLevel(line.level()); break;
+        case proto::Resource::kBudget: applyBudget(line.budget()); break;
         case proto::Resource::kZoneEmpty: emptyZone(line.zone_empty()); break;
         case proto::Resource::kZoneFilled: fillZone(line.zone_filled(), now); break;
         case proto::Resource::WHAT_NOT_SET: break;  // of a newer controller
@@ -355,7 +355,7 @@
     }
 }
 
-bool Tables::mayBeCold(const Server& server, Micros now) const { return stranded_ || server.coldUntil > now; }
+bool Tables::mayBeCold(const Server& server, Micros now) const { return isolated_ || server.coldUntil > now; }
 
 bool Tables::coldAllows(const Server& server, Micros now) const {
     return !mayBeCold(server, now) || server.recent.allows(now, kColdSpan);
@@ -419,10 +419,10 @@
 
 void Tables::cameTo(Service& service, Kind kind) {
     ++service.demand[static_cast<std::size_t>(kind)].came;
-    service.budget.came(stranded_ ? kStrandedPart : 1);
+    service.budget.came(isolated_ ? kStrandedPart : 1);
 }
 
-bool Tables::takeFurther(Service& service, Micros now) { return service.budget.take(now, stranded_); }
+bool Tables::takeFurther(Service& service, Micros now) { return service.budget.take(now, isolated_); }
 
 void Tables::voided(Server& server) {
     if (server.voided) return;
--- a/src/gateway/upstream/tables.h
+++ b/src/gateway/upstream/tables.h
@@ -141,7 +141,7 @@
 
     // One batch, in force at once and as a whole. Says whether it was taken: never one of an older index than
     // what is held.
-    bool obey(const proto::ResourceBatch& orders, Micros now);
+    bool apply(const proto::ResourceBatch& orders, Micros now);
 
     [[nodiscard]] std::uint64_t index() const { return index_; }  // of the configuration; 0: none yet
     [[nodiscard]] bool configured() const { return index_ != 0; }
@@ -169,8 +169,8 @@
     /// Until when servers may be chosen by what is held; `pick` keeps to it.
     [[nodiscard]] ViewLease& view() { return view_; }
     [[nodiscard]] const ViewLease& view() const { return view_; }
-    void strand(bool stranded) { stranded_ = stranded; }
-    [[nodiscard]] bool stranded() const { return stranded_; }
+    void setIsolated(bool isIsolated) { isolated_ = isIsolated; }
+    [[nodiscard]] bool isolated() const { return isolated_; }
     [[nodiscard]] std::size_t servers() const { return servers_.size(); }
 
     // What was counted since the last call; `period` is the caller's.
@@ -183,17 +183,17 @@
         std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>{}(text); }
     };
 
-    void obeyLine(const proto::Resource& line, Micros now);
-    void obeyRoute(const proto::RouteResource& line);
+    void applyLine(const proto::Resource& line, Micros now);
+    void applyRoute(const proto::RouteResource& line);
     void dropRoute(std::string_view key);  // "HOST PATH_START"
-    void obeyService(const proto::ServiceResource& line);
-    void obeyLimits(const proto::LimitsResource& line);
-    void obeyServer(const proto::ServerResource& line, Micros now);
-    void obeyWeight(const proto::WeightResource& line);
+    void applyService(const proto::ServiceResource& line);
+    void applyLimits(const proto::LimitsResource& line);
+    void applyServer(const proto::ServerResource& line, Micros now);
+    void applyWeight(const proto::WeightResource& line);
     void dropTable(const proto::TableDrop& line);
-    void obeyBind(const proto::TableBind& line);
-    void obeyLevel(const proto::LevelResource& line);
-    void obeyBudget(const proto::BudgetResource& line);
+    void applyBind(const proto::TableBind& line);
+    void applyLevel(const proto::LevelResource& line);
+    void applyBudget(const proto::BudgetResource& line);
     void emptyZone(const std::string& zone);
     void fillZone(const std::string& zone, Micros now);
     void clear(bool servers);
@@ -219,7 +219,7 @@
     std::set<std::string> emptied_;  // zones
     std::vector<std::string> voidedIds_;
     ViewLease view_{0, 0};  // of nobody, until a controller is followed
-    bool stranded_ = false;
+    bool isolated_ = false;
     Defaults defaults_;
     Draw draw_{1};
     std::vector<const Service::Candidate*> options_, beside_, spare_, lastResort_;  // of one pick
--- a/tests/gateway/abandoned_request_test.cpp
+++ b/tests/gateway/abandoned_request_test.cpp
@@ -30,7 +30,7 @@
         line->set_id("i");
         line->set_service("s");
         line->set_address("10.0.0.1:1000");
-        tables_.obey(orders, loop_.now());
+        tables_.apply(orders, loop_.now());
         loop_.outboundQueue = kQueue;
     }
     // A client sends a request, and leaves after a while.
--- a/tests/gateway/controller_selection_test.cpp
+++ b/tests/gateway/controller_selection_test.cpp
@@ -254,7 +254,7 @@
     bounds.apply = 10 * kSecond;
     const SelectionLimits limits = selectionLimits(bounds);
     CHECK(limits.contact == 6 * kSecond);
-    CHECK(limits.silent < limits.contact);
+    CHECK(limits.maxSilence < limits.contact);
     CHECK(limits.stranded > bounds.apply);
 }
 
--- a/tests/gateway/departures_test.cpp
+++ b/tests/gateway/departures_test.cpp
@@ -161,14 +161,15 @@
         server->set_address("10.0.0.1:" + std::to_string(80 + id.size()));
         return batch;
     };
-    REQUIRE(tables.obey(batchNaming("left", true, true), 0));
-    REQUIRE(tables.obey(batchNaming("stays!", false, false), 0));
-    REQUIRE(tables.obey(batchNaming("", true, false), 0));  // from another controller, which has just started
-    REQUIRE(tables.obey(batchNaming("stays!", false, false), 0));
+    REQUIRE(tables.apply(batchNaming("left", true, true), 0));
+    REQUIRE(tables.apply(batchNaming("stays!", false, false), 0));
+    REQUIRE(
+        tables.apply(batchNaming("", true, false), 0));  // from another controller, which has just started
+    REQUIRE(tables.apply(batchNaming("stays!", false, false), 0));
     CHECK(tables.servers() == 2);
-    REQUIRE(tables.obey(batchNaming("", false, true), 0));
+    REQUIRE(tables.apply(batchNaming("", false, true), 0));
     CHECK(tables.servers() == 1);
-    REQUIRE(tables.obey(batchNaming("", false, true), 0));
+    REQUIRE(tables.apply(batchNaming("", false, true), 0));
     CHECK(tables.servers() == 1);
 }
 
--- a/tests/gateway/edge_proxy_support.h
+++ b/tests/gateway/edge_proxy_support.h
@@ -225,11 +225,11 @@
     void start(const proto::ResourceBatch& orders) {
         forwarder = std::make_unique<RequestForwarder>(loop, settings, tables);
         REQUIRE(forwarder->listen().ok());
-        REQUIRE(tables.obey(orders, now()));
+        REQUIRE(tables.apply(orders, now()));
         forwarder->tablesChanged();
     }
-    void obey(const proto::ResourceBatch& orders) {
-        REQUIRE(tables.obey(orders, now()));
+    void apply(const proto::ResourceBatch& orders) {
+        REQUIRE(tables.apply(orders, now()));
         forwarder->tablesChanged();
     }
     // Runs the loop until this holds; false after so many milliseconds. A process that was paused (builds
--- a/tests/gateway/ending_proxy.cpp
+++ b/tests/gateway/ending_proxy.cpp
@@ -96,7 +96,7 @@
         line->set_address("10.0.0.1:" + std::to_string(kFirstPort + k));
         line->set_zone("z");
     }
-    tables_.obey(orders, loop_.now());
+    tables_.apply(orders, loop_.now());
     forwarder_->tablesChanged();
 }
 
--- a/tests/gateway/forwarding_model.cpp
+++ b/tests/gateway/forwarding_model.cpp
@@ -89,7 +89,7 @@
         onAccepted(port, connection);
     };
     forwarder_ = std::make_unique<RequestForwarder>(loop_, settings, tables_);
-    tables_.obey(batch(), loop_.now());
+    tables_.apply(batch(), loop_.now());
     forwarder_->tablesChanged();
     for (unsigned k = 0; k < plan_.clients; ++k) {
         clients_.push_back(std::make_unique<ClientSide>());
--- a/tests/gateway/request_forwarder_test.cpp
+++ b/tests/gateway/request_forwarder_test.cpp
@@ -104,7 +104,7 @@
         CHECK(gone.seen.size() == before);
         marldale::edge_proxy::proto::ResourceBatch again;
         World::serverLine(again, gone);
-        world.obey(again);
+        world.apply(again);
         for (int k = 0; k < 20; ++k) CHECK(client.ask(post(path, "v" + std::to_string(k))).status == 200);
         CHECK(gone.seen.size() > before);
     }
@@ -257,7 +257,7 @@
     const Reply early = client.ask(get("/r/a", "t"));
     CHECK(early.status == 503);
     CHECK_FALSE(fieldOf(early.head, "Retry-After").empty());
-    world.obey(world.batch());
+    world.apply(world.batch());
     CHECK(platform.ask(look).status == 200);
     CHECK(client.ask(get("/no/a", "t")).status == 404);
     CHECK(client.ask(get("/r/a", "t")).status == 200);
@@ -343,7 +343,7 @@
         orders.mutable_resources(0)->mutable_limits()->set_max_body_bytes(64 << 20);
         orders.mutable_resources(0)->mutable_limits()->set_header_wait(2000000);
         orders.mutable_resources(0)->mutable_limits()->set_quiet(2000000);
-        world.obey(orders);
+        world.apply(orders);
         client.send(
             "POST /w/a HTTP/1.1\r\nHost: a.example\r\nX-Try-Id: t\r\nContent-Length: 34000000\r\n\r\n");
         const Reply reply = client.read();
@@ -593,7 +593,7 @@
             marldale::edge_proxy::proto::ResourceBatch orders;
             orders.add_resources()->set_server_drop("i-1");
             World::serverLine(orders, other);
-            world.obey(orders);
+            world.apply(orders);
         }
         return changed;
     });
@@ -804,7 +804,7 @@
         // The planner gives them anew what another incarnation has taken.
         marldale::edge_proxy::proto::ResourceBatch again;
         for (const auto& server : world.servers) World::serverLine(again, *server);
-        world.obey(again);
+        world.apply(again);
     }
     CHECK(answered == 320);
     CHECK(served > 180);
--- a/tests/gateway/tables_test.cpp
+++ b/tests/gateway/tables_test.cpp
@@ -46,7 +46,7 @@
 
 struct BoundProxy : Tables {
     Micros now = 100 * kSecond;
-    bool obeys(const proto::ResourceBatch& orders) { return obey(orders, now); }
+    bool applies(const proto::ResourceBatch& orders) { return apply(orders, now); }
     Service& s() {
         Route route;
         route.shares.push_back({"s", 1});
@@ -78,7 +78,7 @@
     route(orders, "a.example", "/a/b/c/d/", "abcd");
     route(orders, "a.example", "/b/x/", "bx");
     route(orders, "b.example", "/only/", "only");
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     CHECK(proxy.target("a.example", "/") == "root");
     CHECK(proxy.target("a.example", "/a") == "root");
     CHECK(proxy.target("a.example", "/a/") == "a");
@@ -96,7 +96,7 @@
     drop.set_index(2);
     drop.add_resources()->set_route_drop("a.example /a/b/");
     drop.add_resources()->set_route_drop("b.example /only/");
-    REQUIRE(proxy.obeys(drop));
+    REQUIRE(proxy.applies(drop));
     CHECK(proxy.target("a.example", "/a/b/c/") == "a");
     CHECK(proxy.target("b.example", "/only/x") == "");
 }
@@ -117,7 +117,7 @@
     };
     for (int k = 0; k < 40; ++k) starts.insert(path());
     for (const std::string& start : starts) route(orders, "h", start, start);
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     for (int k = 0; k < 300; ++k) {
         const std::string asked = path() + "x";
         std::string longest;
@@ -137,7 +137,7 @@
     route(first, "h", "/a/", "s");
     serverLine(first, "1");
     serverLine(first, "2");
-    REQUIRE(proxy.obeys(first));
+    REQUIRE(proxy.applies(first));
     CHECK(proxy.index() == 5);
     CHECK(proxy.picks(50).size() == 2);
 
@@ -145,7 +145,7 @@
     old.set_index(4);
     old.set_fresh(true);
     route(old, "h", "/old/", "s");
-    CHECK_FALSE(proxy.obeys(old));
+    CHECK_FALSE(proxy.applies(old));
     CHECK(proxy.target("h", "/a/x") == "s");
     CHECK(proxy.target("h", "/old/x") == "");
 
@@ -154,7 +154,7 @@
     fresh.set_fresh(true);
     fresh.set_index(5);
     route(fresh, "h", "/b/", "s");
-    REQUIRE(proxy.obeys(fresh));
+    REQUIRE(proxy.applies(fresh));
     CHECK(proxy.target("h", "/a/x") == "");
     CHECK(proxy.target("h", "/b/x") == "s");
     CHECK(proxy.picks(50).size() == 2);
@@ -164,13 +164,13 @@
     whole.set_servers_whole(true);
     serverLine(whole, "2");
     const ServerPtr kept = proxy.pick(proxy.s(), Kind::readOnly, {}, proxy.now).server;
-    REQUIRE(proxy.obeys(whole));
+    REQUIRE(proxy.applies(whole));
     CHECK(proxy.picks(50) == std::map<std::string, int>{{"2", 50}});
     CHECK(proxy.index() == 5);
 
     proto::ResourceBatch drop;
     drop.add_resources()->set_server_drop("2");
-    REQUIRE(proxy.obeys(drop));
+    REQUIRE(proxy.applies(drop));
     CHECK(proxy.picks(1) == std::map<std::string, int>{{"none", 1}});
     CHECK_FALSE(kept->usable());
 }
@@ -180,7 +180,7 @@
     proto::ResourceBatch orders;
     for (const char* id : {"1", "2", "3"}) serverLine(orders, id);
     serverLine(orders, "other", "t");
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     CHECK(proxy.picks(300).size() == 3);  // none bound: all alike
 
     proto::ResourceBatch tables;
@@ -190,7 +190,7 @@
     weight(tables, 2, "3", 3);
     bind(tables, 1, 1U << 1U);
     bind(tables, 2, 1U << 0U | 1U << 2U);
-    REQUIRE(proxy.obeys(tables));
+    REQUIRE(proxy.applies(tables));
     CHECK(proxy.picks(50, Kind::writing) == std::map<std::string, int>{{"1", 50}});
     const auto reads = proxy.picks(4000);
     CHECK(reads.size() == 2);
@@ -201,7 +201,7 @@
     // None of its lines usable: all servers count alike.
     proto::ResourceBatch gone;
     gone.add_resources()->set_server_drop("1");
-    REQUIRE(proxy.obeys(gone));
+    REQUIRE(proxy.applies(gone));
     CHECK(proxy.picks(200, Kind::writing).size() == 2);
 }
 
@@ -210,7 +210,7 @@
     proto::ResourceBatch orders;
     serverLine(orders, "1")->set_in_flight_most(2);
     serverLine(orders, "2")->set_connections_most(1);
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     for (int k = 0; k < 3; ++k) {
         const Pick pick = proxy.pick(proxy.s(), Kind::writing, {}, proxy.now);
         REQUIRE(pick.room == Room::found);
@@ -238,17 +238,17 @@
     serverLine(orders, "1", "s", "a")->set_cold_most(1);
     serverLine(orders, "2", "s", "b");
     orders.add_resources()->set_zone_empty("a");
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     CHECK(proxy.picks(50) == std::map<std::string, int>{{"2", 50}});
     proto::ResourceBatch back;
     back.add_resources()->set_zone_filled("a");
-    REQUIRE(proxy.obeys(back));
+    REQUIRE(proxy.applies(back));
     const ServerPtr cold = proxy.s().servers[0];
     CHECK(proxy.mayBeCold(*cold, proxy.now));
     CHECK(proxy.picks(50) == std::map<std::string, int>{{"2", 50}});  // a warm one has room
     proto::ResourceBatch known;
     serverLine(known, "1", "s", "a");
-    REQUIRE(proxy.obeys(known));
+    REQUIRE(proxy.applies(known));
     CHECK_FALSE(proxy.mayBeCold(*cold, proxy.now));
     CHECK(proxy.picks(50).size() == 2);
 }
@@ -261,7 +261,7 @@
     line->set_cold_for(20 * kSecond);
     serverLine(orders, "2")->set_cold_most(0);
     orders.mutable_resources(1)->mutable_server()->set_cold_for(20 * kSecond);
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     std::vector<Micros> sends;
     Draw draw(7);
     for (int k = 0; k < 3000; ++k) {
@@ -281,8 +281,8 @@
     proto::ResourceBatch orders;
     serverLine(orders, "1")->set_cold_most(2);
     serverLine(orders, "2");  // none while cold
-    REQUIRE(proxy.obeys(orders));
-    proxy.strand(true);
+    REQUIRE(proxy.applies(orders));
+    proxy.setIsolated(true);
     int sent = 0;
     for (int k = 0; k < 10; ++k) {
         const Pick pick = proxy.pick(proxy.s(), Kind::readOnly, {}, proxy.now);
@@ -292,7 +292,7 @@
         ++sent;
     }
     CHECK(sent == 2);
-    proxy.strand(false);
+    proxy.setIsolated(false);
     CHECK(proxy.picks(50).size() == 2);
 }
 
@@ -352,7 +352,7 @@
     level->set_table(4);
     level->set_classes(1U << 1U);
     level->set_limit(20);
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     int writing = 0, reading = 0;
     for (int k = 0; k < 1000; ++k) {
         proxy.now += 10000;
@@ -369,7 +369,7 @@
     proto::ResourceBatch orders;
     serverLine(orders, "1");
     serverLine(orders, "2");
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     proxy.cameTo(proxy.s(), Kind::fetchDown);
     proxy.cameTo(proxy.s(), Kind::fetchDown);
     proxy.s().servers[0]->tally = {4, 1, 3, 300};
--- a/tests/gateway/view_lease_test.cpp
+++ b/tests/gateway/view_lease_test.cpp
@@ -93,7 +93,7 @@
     route->set_path_start("/");
     route->add_shares()->set_service("s");
     route->mutable_shares(0)->set_share(1);
-    REQUIRE(tables.obey(batch, 0));
+    REQUIRE(tables.apply(batch, 0));
     upstream::Service& service = tables.serviceOf(*tables.route("a.example", "/"));
     const auto roomAt = [&](Micros now) {
         return tables.pick(service, upstream::Kind::readOnly, {}, now).room;
