--- a/tests/gateway/forwarding_model.h
+++ b/tests/gateway/forwarding_model.h
@@ -1,5 +1,5 @@
-// A model of clients, one edge proxy and servers, for the rules of forwarding: the proxy's real code runs
-// over the simulated network; servers misbehave as a history says; what must hold is checked from outside, by
+// Model test of the forwarding rules with clients, one edge proxy and servers. The production proxy code runs
+// over a simulated network; servers misbehave as each history decides; the rules are checked from outside, by
 // what clients and servers have seen.
 #pragma once
 
@@ -16,11 +16,12 @@
 
 namespace marldale::edge_proxy::model {
 
-struct BrokenRule : std::runtime_error {
+// Thrown when a forwarding rule is violated.
+struct RuleViolation : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Where a history's decisions come from.
+// Source of a history's decisions.
 class Choices {
 public:
     virtual ~Choices() = default;
@@ -31,6 +32,7 @@
     }
 };
 
+// Random decisions.
 class RandomChoices final : public Choices {
 public:
     explicit RandomChoices(std::uint64_t seed) : draw_(seed) {}
@@ -40,14 +42,14 @@
     upstream::Draw draw_;
 };
 
-// All histories, one after the other: depth first over the choices that a history asks for.
+// Enumerates all histories, depth first over the choices that a history requests.
 class AllChoices final : public Choices {
 public:
     unsigned below(unsigned n) override {
         if (at_ == path_.size()) path_.push_back({0, n});
         return path_[at_++].first;
     }
-    // For the next history; false: there is none left.
+    // Advances to the next history; false if none is left.
     bool next() {
         path_.resize(at_);
         at_ = 0;
@@ -58,81 +60,83 @@
     }
 
 private:
-    std::vector<std::pair<unsigned, unsigned>> path_;  // the choice, and among how many
+    std::vector<std::pair<unsigned, unsigned>> path_;  // the choice and the number of alternatives
     std::size_t at_ = 0;
 };
 
-// What a server does with a request.
+// A server's behavior on a request.
 enum class Act : unsigned {
     answer,
     answerInChunks,
     answerThenClose,
     answerSayingClose,
-    surplusAnswer,  // a second one right behind it
-    lateBytes,      // some time after it
-    wrongIdFirst,   // an answer to something else in its place, then its own
+    surplusAnswer,  // a second answer right behind the first
+    lateBytes,      // surplus bytes some time after the answer
+    wrongIdFirst,   // an answer with another id, then the right one
     cutByReset,
     cutByClose,
-    cutAtOnce,   // closed having run it, without a byte
-    resetUnrun,  // reset without having run it, as servers do that are full
+    cutAtOnce,   // runs the request, then closes without sending a byte
+    resetUnrun,  // resets without running it, as overloaded servers do
     silentRun,
     silentUnrun,
-    lateAnswer,   // after its deadline
+    lateAnswer,   // after the request's deadline
     misdirected,  // 421
     notRun503,
     notRun429,
-    notRunWrongId,  // X-Not-Run with another id: proves nothing
-    own503,         // without X-Not-Run: it has run
+    notRunWrongId,  // X-Not-Run with another id, which proves nothing
+    own503,         // without X-Not-Run: the request has run
     own500,
-    noLength,  // ends with its connection
+    noLength,  // delimited by the connection's end
     unsealed,
     encoded,
     garbage,
-    interimFirst,  // 100 and 103 before it
-    earlyAnswer,   // before the request's last byte has come
+    interimFirst,  // 100 and 103 before the answer
+    earlyAnswer,   // before the request's last byte has arrived
     earlyRefusal,  // the same, with X-Not-Run
     countOfActs,
 };
 inline constexpr unsigned kActs = static_cast<unsigned>(Act::countOfActs);
 
+// Parameters of one history.
 struct Plan {
     forwarding::Faults faults;
-    std::vector<Act> firstActs, laterActs;  // drawn for the first arrival of a request, and for others
+    std::vector<Act> firstActs, laterActs;  // choices for the first arrival of a request, and for later ones
     unsigned servers = 2;
     unsigned clients = 1, requestsPerClient = 2;
-    std::optional<std::size_t> cutAt;         // byte of the answer; nothing: drawn
-    std::optional<std::size_t> requestCutAt;  // the server resets when it has so many bytes of the request
-    std::optional<std::size_t> firstRoom;     // bytes that a connection takes at first
+    std::optional<std::size_t> cutAt;         // byte of the answer; empty: drawn
+    std::optional<std::size_t> requestCutAt;  // the server resets after this many bytes of the request
+    std::optional<std::size_t> firstRoom;     // bytes that a connection accepts at first
     bool connectTrouble = false, linkTrouble = false, clientTrouble = false, limits = false;
     bool largeBodies = false;
-    bool pipelining = true;          // some clients do
-    bool cutOffFirstServer = false;  // a second after the beginning, for good
+    bool pipelining = true;          // allowed for some clients
+    bool cutOffFirstServer = false;  // permanently, one second after the start
     ConnectResult serversAccept = ConnectResult::accepted;
     std::optional<Micros> terminateAfter;  // SIGTERM
     Micros grace = 6 * kSecond;
-    std::optional<unsigned> keepAlive;  // seconds, as servers tell
-    Micros thinkTime = 0;               // of clients between an answer and the next request; 0: drawn
+    std::optional<unsigned> keepAlive;  // seconds, as advertised by servers
+    Micros thinkTime = 0;               // of clients, between an answer and the next request; 0: drawn
 };
 
-// What became of one request, as seen from outside.
+// Outcome of one request, as seen from outside.
 struct RequestRecord {
     std::string id;
     bool writing = false;
-    bool sent = false;  // its client sent its last byte
+    bool sent = false;  // its client has sent the last byte
     Micros sentAt = 0, timeLeft = 0;
     unsigned ran = 0;
-    std::size_t bytesLeft = 0;       // that the proxy could write to servers
-    std::set<Connection*> arrivals;  // connections on which a byte of it left
-    std::set<Connection*> proven;    // of these, where the server said that it has not run
-    std::set<std::string> bodies;    // whole, as servers gave them
-    unsigned status = 0;             // told to its client
+    std::size_t bytesLeft = 0;       // bytes that the proxy wrote to servers
+    std::set<Connection*> arrivals;  // connections on which a byte of it was sent
+    std::set<Connection*> proven;    // of these, where the server stated that it has not run
+    std::set<std::string> bodies;    // complete bodies sent by servers
+    unsigned status = 0;             // received by its client
     bool whole = false;
 };
 
+// Plays a history and checks the rules.
 class Model {
 public:
     Model(Choices& choices, Plan plan);
-    // Plays one history. Throws `BrokenRule`.
+    // Plays one history. Throws `RuleViolation`.
     void play();
 
     std::map<std::string, RequestRecord> requests;
@@ -150,14 +154,14 @@
         ServerSide* server = nullptr;
         Connection* connection = nullptr;
         std::string in;
-        std::size_t skip = 0;   // bytes of a request that was answered early
-        std::string requestId;  // under way
+        std::size_t skip = 0;   // remaining bytes of a request that was answered early
+        std::string requestId;  // current request
         Act act = Act::answer;
         bool closed = false;
         bool largeAnswer = false;
-        // As seen at the proxy's end.
-        std::string writing;   // the id whose bytes are written
-        bool answered = true;  // the last request got a whole answer
+        // As seen by the proxy.
+        std::string writing;   // id of the request being written
+        bool answered = true;  // the last request got a complete answer
         std::optional<std::size_t> surplusFrom;
     };
     struct ClientSide {
@@ -193,14 +197,14 @@
     void troubleLinks();
     void cutOffFirstServer();
     void troubleClients();
-    [[noreturn]] void broken(const std::string& rule, const std::string& id) const;
+    [[noreturn]] void violated(const std::string& rule, const std::string& id) const;
 
     Choices& choices_;
     Plan plan_;
     SimulatedLoop loop_;
     upstream::Tables tables_;
     std::unique_ptr<RequestForwarder> forwarder_;
-    bool ended_ = false;  // the proxy says that it has
+    bool ended_ = false;  // the proxy reported the end of its shutdown
     std::vector<ServerSide> servers_;
     std::vector<std::unique_ptr<ClientSide>> clients_;
     std::map<unsigned short, std::size_t> ports_;
--- a/tests/gateway/forwarding_model_test.cpp
+++ b/tests/gateway/forwarding_model_test.cpp
@@ -1,3 +1,4 @@
+// Exhaustive and random histories of the forwarding model, and checks that it detects injected faults.
 #include <cstdlib>
 
 #include "forwarding_model.h"
@@ -14,14 +15,14 @@
 
 const std::vector<Act> kFewActs{Act::answer, Act::notRun503, Act::silentRun};
 
-// What goes well is played as often as all troubles together.
+// Success is as likely as all failures together.
 std::vector<Act> mixedActs() {
     std::vector<Act> acts = allActs();
     acts.insert(acts.end(), kActs, Act::answer);
     return acts;
 }
 
-// Plays every history that the plan leaves open; returns how many there are.
+// Plays every history that the plan allows and returns their number.
 std::size_t playAll(const Plan& plan) {
     AllChoices choices;
     std::size_t histories = 0;
@@ -63,11 +64,11 @@
 
 }  // namespace
 
-TEST_CASE("Every sequence of two requests and what servers may do with them", "[forwarding_model]") {
+TEST_CASE("Every sequence of two requests with every server behavior", "[forwarding_model]") {
     Plan plan;
     plan.firstActs = allActs();
     plan.laterActs = kFewActs;
-    plan.cutAt = 100;  // in the body; each byte has a test of its own
+    plan.cutAt = 100;  // in the body; a separate test covers each byte
     const std::size_t histories = playAll(plan);
     CHECK(histories > 10000);
     WARN(histories << " histories");
@@ -84,7 +85,7 @@
     }
 }
 
-TEST_CASE("A request cut at each of its bytes, and a connection that takes only so many",
+TEST_CASE("A request cut at each of its bytes, and a connection that accepts a limited number of bytes",
           "[forwarding_model]") {
     Plan plan;
     plan.firstActs = {Act::answer, Act::earlyRefusal};
@@ -99,7 +100,7 @@
     }
 }
 
-TEST_CASE("Every way in which connects fail", "[forwarding_model]") {
+TEST_CASE("Every kind of connect failure", "[forwarding_model]") {
     Plan plan;
     plan.firstActs = {Act::answer, Act::resetUnrun};
     plan.laterActs = {Act::answer, Act::silentRun};
@@ -109,8 +110,8 @@
     CHECK(playAll(plan) > 100);
 }
 
-TEST_CASE("Stray bytes while a connection takes not a byte of the next request", "[forwarding_model]") {
-    // Found by a random history: 502 for a writing request of which nothing had left.
+TEST_CASE("Stray bytes while a connection accepts no byte of the next request", "[forwarding_model]") {
+    // Regression found by a random history: 502 for a writing request of which no byte had been sent.
     Plan plan;
     plan.firstActs = {Act::lateBytes};
     plan.laterActs = kFewActs;
@@ -129,27 +130,27 @@
     }
 }
 
-TEST_CASE("Connections are kept for as long as the server surely keeps them", "[forwarding_model]") {
+TEST_CASE("Connections are reused only while the server certainly keeps them open", "[forwarding_model]") {
     constexpr unsigned kRequests = 20;
     Plan plan;
     plan.firstActs = plan.laterActs = {Act::answer};
     plan.servers = 1;
     plan.requestsPerClient = kRequests;
-    plan.thinkTime = 3 * kSecond;  // between requests, of which half are writing ones
+    plan.thinkTime = 3 * kSecond;  // between requests, half of which are writing
     plan.pipelining = false;
     plan.keepAlive = 5;
     RandomChoices choices(1);
     Model kept(choices, plan);
     kept.play();
     CHECK(kept.connectsMade == 1);
-    // Within the second that a rounded time may lack, only what may be repeated is sent over it.
+    // In the last second, which rounding may cut off, a connection carries only repeatable requests.
     plan.keepAlive = 3;
     Model unsure(choices, plan);
     unsure.play();
     CHECK(unsure.connectsMade > 1);
 }
 
-TEST_CASE("A server whose machine falls silent is left after a quarter of a second", "[forwarding_model]") {
+TEST_CASE("A server with an unresponsive host is left after a quarter of a second", "[forwarding_model]") {
     Plan plan;
     plan.firstActs = plan.laterActs = {Act::answer};
     plan.servers = 2;
@@ -170,17 +171,18 @@
         }
     }
     CHECK(served > 20 * 38);
-    CHECK(unanswered <= 20);  // the one that was under way when it fell silent
+    CHECK(unanswered <= 20);  // requests that were pending when the host stopped responding
 }
 
-TEST_CASE("What waits or connects when the process ends is refused, not cut", "[forwarding_model]") {
+TEST_CASE("Requests that are queued or connecting when the process ends are refused, not cut",
+          "[forwarding_model]") {
     Plan plan;
     plan.firstActs = plan.laterActs = {Act::answer};
     plan.servers = 1;
     plan.requestsPerClient = 1;
     plan.serversAccept = ConnectResult::silent;
     plan.terminateAfter = 20 * kMs;
-    plan.grace = 320 * kMs;  // less the margin: it ends 20 ms later, while it connects
+    plan.grace = 320 * kMs;  // minus the margin: the process ends 20 ms later, while connecting
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         RandomChoices choices(seed);
         Model model(choices, plan);
@@ -189,33 +191,33 @@
     }
 }
 
-TEST_CASE("The model finds faults that are planted", "[forwarding_model]") {
+TEST_CASE("The model detects injected faults", "[forwarding_model]") {
     using marldale::forwarding::Faults;
-    struct Planted {
+    struct InjectedFault {
         const char* name;
         Faults faults;
     };
-    const auto planted =
-        GENERATE(Planted{"reuses a connection with surplus bytes", {.reuseWithSurplus = true}},
-                 Planted{"sends a writing request again after a silence", {.retryAfterSilence = true}},
-                 Planted{"503 after bytes have left", {.refuseAfterSend = true}},
-                 Planted{"does not compare X-Try-Id", {.ignoreTryId = true}},
-                 Planted{"passes on a success without its seal", {.passUnsealed = true}},
-                 Planted{"believes a 503 without X-Not-Run", {.believePromises = true}},
-                 Planted{"502 where nothing has left", {.badGatewayUnsent = true}},
-                 Planted{"keeps a connection whose answer never came", {.keepAfterSilence = true}},
-                 Planted{"502 where a connection took not a byte", {.unsentMayHaveRun = true}});
+    const auto injected =
+        GENERATE(InjectedFault{"reuses a connection with surplus bytes", {.reuseWithSurplus = true}},
+                 InjectedFault{"sends a writing request again after a timeout", {.retryAfterTimeout = true}},
+                 InjectedFault{"503 after bytes were sent", {.refuseAfterSend = true}},
+                 InjectedFault{"does not compare X-Try-Id", {.ignoreTryId = true}},
+                 InjectedFault{"forwards a success without its seal", {.passWithoutSeal = true}},
+                 InjectedFault{"trusts a 503 without X-Not-Run", {.trustUnprovenStatus = true}},
+                 InjectedFault{"502 although nothing was sent", {.badGatewayUnsent = true}},
+                 InjectedFault{"reuses a connection whose answer timed out", {.keepAfterTimeout = true}},
+                 InjectedFault{"502 although the connection accepted no byte", {.unsentMayHaveRun = true}});
     constexpr std::uint64_t kMost = 2000;
     std::uint64_t seed = 0;
     std::string rule;
     while (rule.empty() && seed < kMost) {
         try {
-            playRandom(++seed, planted.faults);
-        } catch (const BrokenRule& broken) {
-            rule = broken.what();
+            playRandom(++seed, injected.faults);
+        } catch (const RuleViolation& violation) {
+            rule = violation.what();
         }
     }
-    INFO(planted.name << ": " << rule);
+    INFO(injected.name << ": " << rule);
     CHECK_FALSE(rule.empty());
-    WARN(planted.name << ": found after " << seed << " histories: " << rule.substr(0, rule.find('\n')));
+    WARN(injected.name << ": found after " << seed << " histories: " << rule.substr(0, rule.find('\n')));
 }
--- a/tests/gateway/request_forwarder_test.cpp
+++ b/tests/gateway/request_forwarder_test.cpp
@@ -1,3 +1,4 @@
+// Tests of RequestForwarder over loopback with scripted servers.
 #include "edge_proxy_support.h"
 
 using namespace marldale::edge_proxy;
@@ -5,7 +6,7 @@
 
 TEST_CASE("A request reaches a server unchanged and its answer comes back", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.start();
     Client client(world);
     for (int k = 0; k < 3; ++k) {
@@ -33,9 +34,9 @@
     CHECK(left < 2000);
 }
 
-TEST_CASE("Bodies go on with a length, whichever way they came", "[request_forwarder]") {
+TEST_CASE("Bodies are forwarded with Content-Length, however they were framed", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.start();
     Client client(world);
     REQUIRE(client.ask(post("/w/a", "one", "b=1&c=2")).status == 200);
@@ -54,20 +55,20 @@
 
 namespace {
 
-Does refusal(const Seen& seen) {
+ServerAction refusal(const ReceivedRequest& seen) {
     return {"HTTP/1.1 503 Service Unavailable\r\nX-Try-Id: " + seen.id +
             "\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"};
 }
 
-// Two servers; the first request that either gets is met by `first`, all others are answered well.
-struct Two : World {
-    StandIn& one = server("i-1");
-    StandIn& other = server("i-2");
+// Two servers: `first` handles the first request that either receives, all others succeed.
+struct TwoServers : World {
+    FakeServer& one = server("i-1");
+    FakeServer& other = server("i-2");
     bool met = false;
-    explicit Two(const std::function<Does(const Seen&)>& first) {
-        for (StandIn* server : {&one, &other}) {
-            server->script = [this, first](const Seen& seen) {
-                if (std::exchange(met, true)) return Does{good(seen.id)};
+    explicit TwoServers(const std::function<ServerAction(const ReceivedRequest&)>& first) {
+        for (FakeServer* server : {&one, &other}) {
+            server->script = [this, first](const ReceivedRequest& seen) {
+                if (std::exchange(met, true)) return ServerAction{good(seen.id)};
                 return first(seen);
             };
         }
@@ -78,18 +79,18 @@
 
 }  // namespace
 
-TEST_CASE("What has not run goes to another server, whatever its kind", "[request_forwarder]") {
+TEST_CASE("A request proven not run goes to another server, whatever its kind", "[request_forwarder]") {
     const std::string path = GENERATE("/r/a", "/w/a");
     SECTION("refused") {
-        Two world(refusal);
+        TwoServers world(refusal);
         Client client(world);
         CHECK(client.ask(post(path, "t")).status == 200);
         CHECK(world.one.seen.size() == 1);
         CHECK(world.other.seen.size() == 1);
     }
     SECTION("another incarnation") {
-        Two world([](const Seen&) {
-            return Does{
+        TwoServers world([](const ReceivedRequest&) {
+            return ServerAction{
                 "HTTP/1.1 421 Misdirected Request\r\nX-Answering-Server: i-9\r\nContent-Length: 0\r\n\r\n"};
         });
         Client client(world);
@@ -97,8 +98,8 @@
         CHECK(world.arrivals() == 2);
         auto sums = world.forwarder->takeLoadReport(World::now());
         REQUIRE(sums.voided_size() == 1);
-        // Nothing more goes to that incarnation until its line comes anew.
-        StandIn& gone = sums.voided(0) == "i-1" ? world.one : world.other;
+        // The replaced server gets nothing more until its entry is sent again.
+        FakeServer& gone = sums.voided(0) == "i-1" ? world.one : world.other;
         const std::size_t before = gone.seen.size();
         for (int k = 0; k < 10; ++k) CHECK(client.ask(post(path, "u" + std::to_string(k))).status == 200);
         CHECK(gone.seen.size() == before);
@@ -109,50 +110,51 @@
         CHECK(gone.seen.size() > before);
     }
     SECTION("a dead port") {
-        Two world([](const Seen& seen) { return Does{good(seen.id)}; });
-        world.one.shut();
+        TwoServers world([](const ReceivedRequest& seen) { return ServerAction{good(seen.id)}; });
+        world.one.stopListening();
         Client client(world);
         for (int k = 0; k < 10; ++k) CHECK(client.ask(post(path, "t" + std::to_string(k))).status == 200);
         CHECK(world.other.seen.size() == 10);
     }
 }
 
-TEST_CASE("Without a proof a writing request is not sent again, and the answer promises nothing",
-          "[request_forwarder]") {
-    const auto [what, does] = GENERATE(table<std::string, std::function<Does(const Seen&)>>({
-        {"reset", [](const Seen&) { return Does{"", Does::Then::reset}; }},
-        {"closed", [](const Seen&) { return Does{"", Does::Then::close}; }},
-        {"garbage", [](const Seen&) { return Does{"\x01\x02 nonsense\r\n\r\n"}; }},
-        {"another id", [](const Seen&) { return Does{good("late")}; }},
-        {"no id", [](const Seen&) { return Does{"HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"}; }},
+TEST_CASE(
+    "Without proof a writing request is not sent again and the answer does not imply that it has not run",
+    "[request_forwarder]") {
+    const auto [what, does] = GENERATE(table<std::string, std::function<ServerAction(const ReceivedRequest&)>>({
+        {"reset", [](const ReceivedRequest&) { return ServerAction{"", ServerAction::Then::reset}; }},
+        {"closed", [](const ReceivedRequest&) { return ServerAction{"", ServerAction::Then::close}; }},
+        {"garbage", [](const ReceivedRequest&) { return ServerAction{"\x01\x02 nonsense\r\n\r\n"}; }},
+        {"another id", [](const ReceivedRequest&) { return ServerAction{good("late")}; }},
+        {"no id", [](const ReceivedRequest&) { return ServerAction{"HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 0\r\n\r\n"}; }},
         {"no seal",
-         [](const Seen& seen) {
-             return Does{"HTTP/1.1 200 OK\r\nX-Try-Id: " + seen.id + "\r\nContent-Length: 1\r\n\r\nx"};
+         [](const ReceivedRequest& seen) {
+             return ServerAction{"HTTP/1.1 200 OK\r\nX-Try-Id: " + seen.id + "\r\nContent-Length: 1\r\n\r\nx"};
          }},
-        {"an encoding", [](const Seen& seen) { return Does{good(seen.id, "zip", "Content-Encoding: gzip\r\n")}; }},
-        {"cut", [](const Seen& seen) {
+        {"an encoding", [](const ReceivedRequest& seen) { return ServerAction{good(seen.id, "zip", "Content-Encoding: gzip\r\n")}; }},
+        {"cut", [](const ReceivedRequest& seen) {
              const std::string whole = good(seen.id, "a longer body");
-             return Does{whole.substr(0, whole.size() - 3), Does::Then::close};
+             return ServerAction{whole.substr(0, whole.size() - 3), ServerAction::Then::close};
          }},
         {"cut in its head",
-         [](const Seen& seen) { return Does{"HTTP/1.1 200 OK\r\nX-Try-Id: " + seen.id, Does::Then::close}; }},
+         [](const ReceivedRequest& seen) { return ServerAction{"HTTP/1.1 200 OK\r\nX-Try-Id: " + seen.id, ServerAction::Then::close}; }},
         {"no end",
-         [](const Seen& seen) {
-             return Does{"HTTP/1.1 200 OK\r\nX-Try-Id: " + seen.id + "\r\nX-Server-Seal: s\r\n\r\nbody",
-                         Does::Then::close};
+         [](const ReceivedRequest& seen) {
+             return ServerAction{"HTTP/1.1 200 OK\r\nX-Try-Id: " + seen.id + "\r\nX-Server-Seal: s\r\n\r\nbody",
+                         ServerAction::Then::close};
          }},
         {"a promise without a proof",
-         [](const Seen& seen) {
-             return Does{"HTTP/1.1 503 No\r\nX-Try-Id: " + seen.id + "\r\nContent-Length: 0\r\n\r\n"};
+         [](const ReceivedRequest& seen) {
+             return ServerAction{"HTTP/1.1 503 No\r\nX-Try-Id: " + seen.id + "\r\nContent-Length: 0\r\n\r\n"};
          }},
         {"a refusal of another request",
-         [](const Seen&) {
-             return Does{"HTTP/1.1 503 No\r\nX-Try-Id: late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"};
+         [](const ReceivedRequest&) {
+             return ServerAction{"HTTP/1.1 503 No\r\nX-Try-Id: late\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"};
          }},
     }));
     INFO(what);
     {
-        Two world(does);
+        TwoServers world(does);
         Client client(world);
         const Reply reply = client.ask(post("/w/a", "t"));
         CHECK(reply.status == 502);
@@ -160,8 +162,8 @@
         CHECK(client.ask(post("/w/a", "u")).status == 200);
     }
     {
-        // What may run twice is asked again.
-        Two world(does);
+        // A repeatable request is sent again.
+        TwoServers world(does);
         Client client(world);
         const Reply reply = client.ask(get("/r/a", "t"));
         CHECK(reply.status == 200);
@@ -170,12 +172,12 @@
     }
 }
 
-TEST_CASE("A server's own failure is passed on, for reading after another try", "[request_forwarder]") {
-    const auto failure = [](const Seen& seen) {
-        return Does{"HTTP/1.1 500 Own\r\nX-Try-Id: " + seen.id +
-                    "\r\nX-Mine: yes\r\nContent-Length: 4\r\n\r\noops"};
+TEST_CASE("A server's failure is forwarded, for a reading request after a retry", "[request_forwarder]") {
+    const auto failure = [](const ReceivedRequest& seen) {
+        return ServerAction{"HTTP/1.1 500 Own\r\nX-Try-Id: " + seen.id +
+                            "\r\nX-Mine: yes\r\nContent-Length: 4\r\n\r\noops"};
     };
-    Two world(failure);
+    TwoServers world(failure);
     Client client(world);
     const Reply written = client.ask(post("/w/a", "t"));
     CHECK(written.status == 500);
@@ -184,14 +186,14 @@
     world.met = false;
     CHECK(client.ask(get("/r/a", "u")).status == 200);
     CHECK(world.arrivals() == 3);
-    for (StandIn* server : {&world.one, &world.other}) server->script = failure;
+    for (FakeServer* server : {&world.one, &world.other}) server->script = failure;
     CHECK(client.ask(get("/r/a", "v")).body == "oops");
     CHECK(world.arrivals() == 5);
 }
 
-TEST_CASE("Bytes behind an answer belong to nobody", "[request_forwarder]") {
+TEST_CASE("Surplus bytes after an answer are discarded", "[request_forwarder]") {
     const std::string extra = GENERATE(as<std::string>{}, "surplus", good("t"), good("u", "evil"));
-    Two world([&](const Seen& seen) { return Does{good(seen.id) + extra}; });
+    TwoServers world([&](const ReceivedRequest& seen) { return ServerAction{good(seen.id) + extra}; });
     Client client(world);
     SECTION("writing") {
         const Reply reply = client.ask(post("/w/a", "t"));
@@ -203,36 +205,36 @@
         CHECK(client.ask(get("/r/a", "t")).body == "hello");
         CHECK(world.arrivals() == 2);
     }
-    // Their connection serves nobody any more.
-    for (StandIn* server : {&world.one, &world.other}) {
-        server->script = [](const Seen& seen) { return Does{good(seen.id, "fine")}; };
+    // Their connection is not reused.
+    for (FakeServer* server : {&world.one, &world.other}) {
+        server->script = [](const ReceivedRequest& seen) { return ServerAction{good(seen.id, "fine")}; };
     }
     for (int k = 0; k < 4; ++k) CHECK(client.ask(post("/w/a", "u")).body == "fine");
     CHECK(client.rest().empty());
 }
 
-TEST_CASE("A surplus answer that comes later ends its connection", "[request_forwarder]") {
+TEST_CASE("A late surplus answer ends its connection", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.start();
     Client client(world);
     REQUIRE(client.ask(post("/w/a", "t")).status == 200);
-    server.late("t", good("t"));
+    server.sendLater("t", good("t"));
     world.turn();
     CHECK(client.ask(post("/w/a", "u")).status == 200);
     CHECK(server.connections == 2);
-    // Also if there was no turn of the loop between: the check before its use finds it.
-    server.late("u", good("u"));
+    // Also without a loop turn in between: the check before reuse detects it.
+    server.sendLater("u", good("u"));
     CHECK(client.ask(post("/w/a", "v")).status == 200);
     CHECK(server.seen.size() == 3);
 }
 
-TEST_CASE("The budget bounds what is sent again", "[request_forwarder]") {
+TEST_CASE("The budget bounds retries", "[request_forwarder]") {
     World world;
     world.settings.extraTries = 0;
     world.settings.retryRatio = 0;
-    StandIn& one = world.server("i-1");
-    StandIn& other = world.server("i-2");
+    FakeServer& one = world.server("i-1");
+    FakeServer& other = world.server("i-2");
     one.script = other.script = refusal;
     world.start();
     Client client(world);
@@ -242,7 +244,7 @@
         if (reply.status == 503 && !fieldOf(reply.head, "Retry-After").empty()) ++refused;
     }
     CHECK(refused == 20);
-    CHECK(one.seen.size() + other.seen.size() == 21);  // one token was there
+    CHECK(one.seen.size() + other.seen.size() == 21);  // the budget had one token
 }
 
 TEST_CASE("No route, no configuration, and readiness", "[request_forwarder]") {
@@ -265,9 +267,9 @@
     CHECK(client.ask("GET /r/a HTTP/1.1\r\nHost: b.example\r\nX-Try-Id: t\r\n\r\n").status == 404);
 }
 
-TEST_CASE("What isn't HTTP to the letter is refused and its connection ends", "[request_forwarder]") {
+TEST_CASE("Malformed HTTP is refused and its connection ends", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.start();
     const std::string head = "POST /w/a HTTP/1.1\r\nHost: a.example\r\nX-Try-Id: t\r\n";
     const std::string bad = GENERATE_COPY(
@@ -313,7 +315,7 @@
 
 TEST_CASE("Limits on heads, bodies and waits", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.start();
     Client client(world);
     const std::string half = "GET /r/a HTTP/1.1\r\nHost: a.example\r\n";
@@ -337,7 +339,7 @@
         client.send("POST /w/a HTTP/1.1\r\nHost: a.example\r\nX-Try-Id: t\r\nContent-Length: 9\r\n\r\nb=");
         CHECK(client.read().status == 408);
     }
-    SECTION("bodies beyond what is held in all") {
+    SECTION("bodies beyond the total buffer limit") {
         marldale::edge_proxy::proto::ResourceBatch orders;
         orders.add_resources()->mutable_limits()->set_max_header_bytes(4096);
         orders.mutable_resources(0)->mutable_limits()->set_max_body_bytes(64 << 20);
@@ -354,7 +356,7 @@
     CHECK(server.seen.empty());
 }
 
-TEST_CASE("A connection that stays quiet is closed without a word", "[request_forwarder]") {
+TEST_CASE("A connection that stays quiet is closed without an answer", "[request_forwarder]") {
     World world;
     world.server("i-1");
     auto orders = world.batch();
@@ -372,7 +374,7 @@
 
 TEST_CASE("Requests on one connection are answered one after the other", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.start();
     Client client(world);
     std::string all;
@@ -383,9 +385,10 @@
     CHECK(server.seen.size() == 20);
 }
 
-TEST_CASE("Large answers stream, wait for slow clients, and look cut when they are", "[request_forwarder]") {
+TEST_CASE("Large answers stream, wait for slow clients, and are visibly incomplete when cut",
+          "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.start();
     std::string body(3000000, 'x');
     for (std::size_t k = 0; k < body.size(); k += 1000) body[k] = static_cast<char>('a' + k / 1000 % 26);
@@ -394,23 +397,23 @@
     for (std::size_t k = 0; k < body.size(); k += 100000)
         chunked += "186a0\r\n" + body.substr(k, 100000) + "\r\n";
     SECTION("with a length") {
-        server.script = [&](const Seen& seen) { return Does{good(seen.id, body)}; };
+        server.script = [&](const ReceivedRequest& seen) { return ServerAction{good(seen.id, body)}; };
         const Reply reply = client.ask(get("/d/a", "t"));
         CHECK(reply.status == 200);
         CHECK((reply.body == body));
         CHECK(fieldOf(reply.head, "Content-Length") == "3000000");
     }
     SECTION("in chunks") {
-        server.script = [&](const Seen& seen) {
-            return Does{"HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nX-Try-Id: " + seen.id +
-                        "\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked + "0\r\n\r\n"};
+        server.script = [&](const ReceivedRequest& seen) {
+            return ServerAction{"HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nX-Try-Id: " + seen.id +
+                                "\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked + "0\r\n\r\n"};
         };
         CHECK((client.ask(get("/d/a", "t")).body == body));
         CHECK((client.ask(get("/d/a", "u")).body == body));
     }
     SECTION("cut, with a length") {
-        server.script = [&](const Seen& seen) {
-            return Does{good(seen.id, body).substr(0, 1500000), Does::Then::close};
+        server.script = [&](const ReceivedRequest& seen) {
+            return ServerAction{good(seen.id, body).substr(0, 1500000), ServerAction::Then::close};
         };
         const Reply reply = client.ask(get("/d/a", "t"));
         CHECK(reply.closed);
@@ -418,10 +421,10 @@
         CHECK(reply.body.size() < body.size());
     }
     SECTION("cut, in chunks") {
-        server.script = [&](const Seen& seen) {
-            return Does{"HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nX-Try-Id: " + seen.id +
-                            "\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked,
-                        Does::Then::close};
+        server.script = [&](const ReceivedRequest& seen) {
+            return ServerAction{"HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nX-Try-Id: " + seen.id +
+                                    "\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked,
+                                ServerAction::Then::close};
         };
         const Reply reply = client.ask(get("/d/a", "t"));
         CHECK(reply.closed);
@@ -429,21 +432,21 @@
     }
 }
 
-TEST_CASE("A small answer in chunks is held and goes on with a length", "[request_forwarder]") {
+TEST_CASE("A small chunked answer is buffered and forwarded with Content-Length", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.start();
-    server.script = [&](const Seen& seen) {
-        return Does{"HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nX-Try-Id: " + seen.id +
-                    "\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"};
+    server.script = [&](const ReceivedRequest& seen) {
+        return ServerAction{"HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nX-Try-Id: " + seen.id +
+                            "\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"};
     };
     Client client(world);
     const Reply reply = client.ask(get("/r/a", "t"));
     CHECK(reply.body == "abcde");
     CHECK(fieldOf(reply.head, "Content-Length") == "5");
-    server.script = [&](const Seen& seen) {
-        return Does{"HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nX-Try-Id: " + seen.id +
-                    "\r\nContent-Length: 77\r\n\r\n"};
+    server.script = [&](const ReceivedRequest& seen) {
+        return ServerAction{"HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nX-Try-Id: " + seen.id +
+                            "\r\nContent-Length: 77\r\n\r\n"};
     };
     client.send("HEAD /r/a HTTP/1.1\r\nHost: a.example\r\nX-Try-Id: h\r\n\r\n");
     const Reply headOnly = client.read(true);
@@ -451,41 +454,44 @@
     CHECK(fieldOf(headOnly.head, "Content-Length") == "77");
 }
 
-TEST_CASE("What must not run twice goes over a connection that is surely open", "[request_forwarder]") {
+TEST_CASE("A request that must not run twice uses a connection verified open", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     const std::string keep =
         GENERATE(as<std::string>{}, "Keep-Alive: timeout=1\r\n", "Connection: close\r\n");
-    server.script = [&](const Seen& seen) { return Does{good(seen.id, "x", keep)}; };
+    server.script = [&](const ReceivedRequest& seen) { return ServerAction{good(seen.id, "x", keep)}; };
     world.start();
     Client client(world);
-    // The margin takes the whole second of the first; the second says it itself.
+    // The margin uses up the whole second of the first case; the second case closes explicitly.
     for (int k = 0; k < 3; ++k) CHECK(client.ask(post("/w/a", "t")).status == 200);
     CHECK(server.connections == 3);
 }
 
-TEST_CASE("A connection that the server has closed costs no try", "[request_forwarder]") {
+TEST_CASE("A connection closed by the server does not count as an attempt", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.start();
     Client client(world);
     REQUIRE(client.ask(post("/w/a", "t")).status == 200);
-    server.script = [&](const Seen& seen) { return Does{good(seen.id), Does::Then::close}; };
+    server.script = [&](const ReceivedRequest& seen) {
+        return ServerAction{good(seen.id), ServerAction::Then::close};
+    };
     REQUIRE(client.ask(post("/w/a", "u")).status == 200);
     REQUIRE(client.ask(post("/w/a", "v")).status == 200);
     CHECK(server.seen.size() == 3);
     CHECK(server.connections == 2);
 }
 
-TEST_CASE("A silent server: reading moves on, writing waits for its deadline", "[request_forwarder]") {
-    Two world([](const Seen&) { return Does{}; });
+TEST_CASE("With an unresponsive server a reading request is retried, a writing one waits for its deadline",
+          "[request_forwarder]") {
+    TwoServers world([](const ReceivedRequest&) { return ServerAction{}; });
     Client client(world);
     const std::string quick =
         "GET /r/a HTTP/1.1\r\nHost: a.example\r\nX-Try-Id: t\r\nX-Time-Left: 200\r\n\r\n";
-    const Micros from = World::now(), ranFrom = world.ran;
+    const Micros from = World::now(), elapsedBefore = world.elapsed;
     CHECK(client.ask(quick).status == 200);
     CHECK(World::now() - from > 100000);
-    CHECK(world.ran - ranFrom < 190000);
+    CHECK(world.elapsed - elapsedBefore < 190000);
     world.met = false;
     const Micros second = World::now();
     CHECK(client
@@ -496,14 +502,14 @@
     CHECK(world.arrivals() == 3);
 }
 
-TEST_CASE("Without room a request waits a little, then is refused in time; rank goes first",
+TEST_CASE("Without capacity a request queues briefly, then is refused in time; rank goes first",
           "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     std::vector<std::string> order;
-    server.script = [&](const Seen& seen) {
+    server.script = [&](const ReceivedRequest& seen) {
         order.push_back(seen.id);
-        return Does{};
+        return ServerAction{};
     };
     auto orders = world.batch();
     for (auto& line : *orders.mutable_resources()) {
@@ -514,38 +520,38 @@
     world.start(orders);
     Client busy(world), last(world), first(world);
     busy.send(post("/w/a", "busy"));
-    REQUIRE(world.until([&] { return order.size() == 1; }));
+    REQUIRE(world.runUntil([&] { return order.size() == 1; }));
     last.send(post("/last/a", "last"));
     world.turn();
     first.send(post("/first/a", "first"));
-    SECTION("nothing comes free") {
-        const Micros ranFrom = world.ran;
+    SECTION("no capacity becomes free") {
+        const Micros elapsedBefore = world.elapsed;
         for (Client* client : {&last, &first}) {
             const Reply reply = client->read();
             CHECK(reply.status == 503);
             CHECK_FALSE(fieldOf(reply.head, "Retry-After").empty());
         }
-        CHECK(world.ran - ranFrom < 100000);  // a quarter of the target
+        CHECK(world.elapsed - elapsedBefore < 100000);  // a quarter of the target
         CHECK(order.size() == 1);
     }
-    SECTION("there is room again") {
+    SECTION("capacity becomes free") {
         world.turn();
-        server.late("busy", good("busy"));
+        server.sendLater("busy", good("busy"));
         CHECK(busy.read().status == 200);
-        REQUIRE(world.until([&] { return order.size() == 2; }));
+        REQUIRE(world.runUntil([&] { return order.size() == 2; }));
         CHECK(order[1] == "first");
-        server.late("first", good("first"));
+        server.sendLater("first", good("first"));
         CHECK(first.read().status == 200);
-        REQUIRE(world.until([&] { return order.size() == 3; }));
+        REQUIRE(world.runUntil([&] { return order.size() == 3; }));
         CHECK(order[2] == "last");
     }
 }
 
-TEST_CASE("A client that leaves: writing is finished, reading is broken off, waiting is forgotten",
+TEST_CASE("After a client disconnects, writing is finished, reading is aborted, queued requests are dropped",
           "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
-    server.script = [&](const Seen&) { return Does{}; };
+    FakeServer& server = world.server("i-1");
+    server.script = [&](const ReceivedRequest&) { return ServerAction{}; };
     auto orders = world.batch();
     for (auto& line : *orders.mutable_resources()) {
         if (line.has_server()) line.mutable_server()->set_in_flight_most(1);
@@ -554,7 +560,7 @@
     {
         Client client(world);
         client.send(post("/w/a", "t"));
-        REQUIRE(world.until([&] { return server.seen.size() == 1; }));
+        REQUIRE(world.runUntil([&] { return server.seen.size() == 1; }));
         Client waiting(world);
         waiting.send(get("/r/a", "w"));
         world.turn();
@@ -562,32 +568,32 @@
         client.reset();
         world.turn();
     }
-    server.late("t", good("t"));
+    server.sendLater("t", good("t"));
     world.turn();
     Client client(world);
     client.send(get("/r/a", "u"));
-    REQUIRE(world.until([&] { return server.seen.size() == 2; }));
+    REQUIRE(world.runUntil([&] { return server.seen.size() == 2; }));
     CHECK(server.seen[1].id == "u");
-    CHECK(server.connections == 1);  // the answer was drained, and the connection went on
+    CHECK(server.connections == 1);  // the answer was drained and the connection reused
     client.reset();
     world.turn();
-    server.script = [](const Seen& seen) { return Does{good(seen.id)}; };
+    server.script = [](const ReceivedRequest& seen) { return ServerAction{good(seen.id)}; };
     Client next(world);
     CHECK(next.ask(get("/r/a", "v")).status == 200);
     CHECK(server.connections == 2);
 }
 
-TEST_CASE("A server whose line goes while it is dialled gets nothing", "[request_forwarder]") {
+TEST_CASE("A server removed while the proxy connects to it gets nothing", "[request_forwarder]") {
     World world;
-    StandIn& one = world.server("i-1");
+    FakeServer& one = world.server("i-1");
     world.start();
     Client client(world);
     client.send(post("/w/a", "t"));
-    // The request is read and its server dialled in the next turn; the line goes before the dial's end is
-    // seen.
-    StandIn& other = world.server("i-2");
+    // The request is read and the connect started in the next turn; the entry is removed before the connect's
+    // result is handled.
+    FakeServer& other = world.server("i-2");
     bool changed = false;
-    world.until([&] {
+    world.runUntil([&] {
         if (one.connections == 1 && !changed) {
             changed = true;
             marldale::edge_proxy::proto::ResourceBatch orders;
@@ -605,22 +611,24 @@
     CHECK(other.seen.size() >= 1);
 }
 
-TEST_CASE("After SIGTERM it serves on, finishes what is under way, and ends", "[request_forwarder]") {
+TEST_CASE("After SIGTERM the proxy serves, finishes pending requests, and ends", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.settings.grace = GENERATE(700000, 1500000);
     const bool fast = world.settings.grace < 1000000;
     bool answers = true;
-    server.script = [&](const Seen& seen) { return answers ? Does{good(seen.id)} : Does{}; };
+    server.script = [&](const ReceivedRequest& seen) {
+        return answers ? ServerAction{good(seen.id)} : ServerAction{};
+    };
     world.start();
     Client platform(world, world.forwarder->readinessPort());
     Client idle(world), busy(world);
     CHECK(idle.ask(get("/r/a", "i")).status == 200);
     answers = false;
     busy.send(post("/w/a", "b"));
-    REQUIRE(world.until([&] { return server.seen.size() == 2; }));
+    REQUIRE(world.runUntil([&] { return server.seen.size() == 2; }));
     bool done = false;
-    const Micros from = World::now(), ranFrom = world.ran;
+    const Micros from = World::now(), elapsedBefore = world.elapsed;
     world.forwarder->terminate([&] { done = true; });
     CHECK(platform.ask("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status == 503);
     answers = true;
@@ -632,27 +640,26 @@
     CHECK(idle.ask(get("/r/a", "i")).status == 200);
     CHECK(idle.waitClosed());
     if (fast) {
-        // It must end, whoever is still at work.
-        REQUIRE(world.until([&] { return done; }));
-        CHECK(world.ran - ranFrom < 600000);
+        // The proxy must end although a server is still working.
+        REQUIRE(world.runUntil([&] { return done; }));
+        CHECK(world.elapsed - elapsedBefore < 600000);
         return;
     }
     CHECK_FALSE(done);
-    server.late("b", good("b"));
+    server.sendLater("b", good("b"));
     CHECK(busy.read().status == 200);
-    CHECK_FALSE(done);  // the platform may not have looked yet
-    REQUIRE(world.until([&] { return done; }));
+    CHECK_FALSE(done);  // the platform may not have polled readiness yet
+    REQUIRE(world.runUntil([&] { return done; }));
     CHECK(World::now() - from > 500000);
-    CHECK(world.ran - ranFrom < 1100000);
+    CHECK(world.elapsed - elapsedBefore < 1100000);
 }
 
-TEST_CASE("What waits for another attempt when the process ends is answered, not cut",
-          "[request_forwarder]") {
-    constexpr Micros kLongTarget = 8000000, kGiveUp = 4000000;  // it may wait for room until after the end
+TEST_CASE("A request queued for a retry when the process ends is answered, not cut", "[request_forwarder]") {
+    constexpr Micros kLongTarget = 8000000, kGiveUp = 4000000;  // so that it may queue until after the end
     World world;
     world.settings.grace = 700000;
-    const auto holdOrReset = [](const Seen& seen) {
-        return Does{"", seen.id == "held" ? Does::Then::nothing : Does::Then::reset};
+    const auto holdOrReset = [](const ReceivedRequest& seen) {
+        return ServerAction{"", seen.id == "held" ? ServerAction::Then::nothing : ServerAction::Then::reset};
     };
     for (const char* id : {"i-1", "i-2"}) world.server(id).script = holdOrReset;
     proto::ResourceBatch orders = world.batch();
@@ -664,9 +671,9 @@
     Client holder(world), waiting(world);
     const auto arrivals = [&] { return world.servers[0]->seen.size() + world.servers[1]->seen.size(); };
     holder.send(get("/q/a", "held"));
-    REQUIRE(world.until([&] { return arrivals() == 1; }));
+    REQUIRE(world.runUntil([&] { return arrivals() == 1; }));
     waiting.send(get("/q/a", "reset"));
-    REQUIRE(world.until([&] { return arrivals() == 2; }));
+    REQUIRE(world.runUntil([&] { return arrivals() == 2; }));
     bool done = false;
     world.forwarder->terminate([&] {
         done = true;
@@ -675,11 +682,11 @@
     const Reply reply = waiting.read();
     CHECK(reply.status == 502);
     CHECK(fieldOf(reply.head, "Connection") == "close");
-    REQUIRE(world.until([&] { return done; }));
+    REQUIRE(world.runUntil([&] { return done; }));
 }
 
-TEST_CASE("What is counted goes to the planner", "[request_forwarder]") {
-    Two world([](const Seen&) { return Does{"", Does::Then::reset}; });
+TEST_CASE("Counters are reported to the planner", "[request_forwarder]") {
+    TwoServers world([](const ReceivedRequest&) { return ServerAction{"", ServerAction::Then::reset}; });
     Client client(world);
     CHECK(client.ask(get("/r/a", "t")).status == 200);
     CHECK(client.ask(post("/w/a", "u")).status == 200);
@@ -696,9 +703,9 @@
     CHECK(sums.demands(0).came() + sums.demands(1).came() == 2);
 }
 
-TEST_CASE("Clients of other habits: Expect, HTTP/1.0, a close asked for", "[request_forwarder]") {
+TEST_CASE("Expect, HTTP/1.0 and Connection: close", "[request_forwarder]") {
     World world;
-    StandIn& server = world.server("i-1");
+    FakeServer& server = world.server("i-1");
     world.start();
     {
         Client client(world);
@@ -731,7 +738,7 @@
         CHECK(client.waitClosed());
     }
     {
-        // Fields of the framing and of ours can't be dropped by naming them.
+        // Listing framing fields or the proxy's own fields in Connection does not drop them.
         Client client(world);
         CHECK(
             client
@@ -744,32 +751,38 @@
     }
 }
 
-TEST_CASE("A storm of random faults: every request gets one answer that keeps its promise",
+TEST_CASE("A storm of random faults: every request gets one answer that states correctly whether it ran",
           "[request_forwarder]") {
     World world;
     marldale::upstream::Draw draw(GENERATE(range(1, 4)));
     std::map<std::string, int> ran;  // by id
     std::map<std::string, int> arrived;
     for (int k = 0; k < 4; ++k) {
-        StandIn& server = world.server("i-" + std::to_string(k));
-        server.script = [&](const Seen& seen) {
+        FakeServer& server = world.server("i-" + std::to_string(k));
+        server.script = [&](const ReceivedRequest& seen) {
             ++arrived[seen.id];
             const auto drawn = draw.next() % 16;
             if (drawn == 0) return refusal(seen);
             if (drawn == 1)
-                return Does{"HTTP/1.1 421 M\r\nX-Try-Id: " + seen.id + "\r\nContent-Length: 0\r\n\r\n"};
+                return ServerAction{"HTTP/1.1 421 M\r\nX-Try-Id: " + seen.id +
+                                    "\r\nContent-Length: 0\r\n\r\n"};
             ++ran[seen.id];
             const std::string whole = good(seen.id, seen.id + std::string(draw.next() % 600, 'x'));
             switch (drawn) {
-                case 2: return Does{whole.substr(0, draw.next() % whole.size()), Does::Then::close};
-                case 3: return Does{whole.substr(0, draw.next() % whole.size()), Does::Then::reset};
-                case 4: return Does{whole + good("late")};
-                case 5: return Does{good("late")};
-                case 6: return Does{"", Does::Then::close};
+                case 2:
+                    return ServerAction{whole.substr(0, draw.next() % whole.size()),
+                                        ServerAction::Then::close};
+                case 3:
+                    return ServerAction{whole.substr(0, draw.next() % whole.size()),
+                                        ServerAction::Then::reset};
+                case 4: return ServerAction{whole + good("late")};
+                case 5: return ServerAction{good("late")};
+                case 6: return ServerAction{"", ServerAction::Then::close};
                 case 7:
-                    return Does{"HTTP/1.1 500 O\r\nX-Try-Id: " + seen.id + "\r\nContent-Length: 0\r\n\r\n"};
-                case 8: return Does{whole, Does::Then::close};
-                default: return Does{whole};
+                    return ServerAction{"HTTP/1.1 500 O\r\nX-Try-Id: " + seen.id +
+                                        "\r\nContent-Length: 0\r\n\r\n"};
+                case 8: return ServerAction{whole, ServerAction::Then::close};
+                default: return ServerAction{whole};
             }
         };
     }
@@ -801,7 +814,7 @@
             if (reply.status == 200) REQUIRE(ran[ids[k]] == 1);
         }
         for (const auto& [id, count] : arrived) REQUIRE(count <= 2);
-        // The planner gives them anew what another incarnation has taken.
+        // The planner lists the replaced servers again.
         marldale::edge_proxy::proto::ResourceBatch again;
         for (const auto& server : world.servers) World::serverLine(again, *server);
         world.apply(again);
@@ -810,11 +823,12 @@
     CHECK(served > 180);
 }
 
-TEST_CASE("A server that takes no connections is left soon, and left alone for a while",
+TEST_CASE("A server that accepts no connections is abandoned soon and skipped for a while",
           "[request_forwarder]") {
     World world;
-    StandIn& other = world.server("i-2");
-    // Its queue of new connections is full and nobody accepts: openings are dropped, as behind a cut.
+    FakeServer& other = world.server("i-2");
+    // Its accept queue is full and nobody accepts, so connection attempts are dropped as in a network
+    // partition.
     tcp::acceptor dark(world.loop, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     dark.listen(0);
     std::vector<std::unique_ptr<tcp::socket>> fill;
@@ -832,9 +846,9 @@
     Micros longest = 0;
     int slow = 0;
     for (int k = 0; k < 20; ++k) {
-        const Micros ranFrom = world.ran;
+        const Micros elapsedBefore = world.elapsed;
         REQUIRE(client.ask(post("/w/a", "t")).status == 200);
-        const Micros took = world.ran - ranFrom;
+        const Micros took = world.elapsed - elapsedBefore;
         longest = std::max(longest, took);
         if (took > 100000) ++slow;
     }
@@ -844,7 +858,7 @@
     CHECK(other.seen.size() == 20);
 }
 
-TEST_CASE("Beyond its descriptors it takes no more connections, and serves those it has",
+TEST_CASE("At its descriptor limit the proxy accepts no more connections and serves the existing ones",
           "[request_forwarder]") {
     World world;
     world.server("i-1");
@@ -864,27 +878,27 @@
     CHECK(again.ask(get("/r/a", "t")).status == 200);
 }
 
-TEST_CASE("After a failed try a request waits for room once more", "[request_forwarder]") {
+TEST_CASE("After a failed attempt a request queues for capacity once more", "[request_forwarder]") {
     World world;
-    StandIn& one = world.server("i-1");
-    StandIn& other = world.server("i-2");
+    FakeServer& one = world.server("i-1");
+    FakeServer& other = world.server("i-2");
     auto orders = world.batch();
     for (auto& line : *orders.mutable_resources()) {
         if (line.has_server()) line.mutable_server()->set_in_flight_most(1);
     }
-    one.script = other.script = [](const Seen&) { return Does{}; };
+    one.script = other.script = [](const ReceivedRequest&) { return ServerAction{}; };
     world.start(orders);
     Client first(world), second(world);
     first.send(get("/r/a", "a"));
     second.send(get("/r/a", "b"));
-    REQUIRE(world.until([&] { return one.seen.size() == 1 && other.seen.size() == 1; }));
-    // Later than a quarter of the target, one of them breaks while the other is busy.
+    REQUIRE(world.runUntil([&] { return one.seen.size() == 1 && other.seen.size() == 1; }));
+    // After a quarter of the target time one server fails while the other is busy.
     const Micros from = World::now();
-    world.until([&] { return World::now() - from > 110000; });
-    one.late(one.seen[0].id, "nonsense\r\n\r\n");
+    world.runUntil([&] { return World::now() - from > 110000; });
+    one.sendLater(one.seen[0].id, "nonsense\r\n\r\n");
     world.turn(20);
-    other.script = [](const Seen& seen) { return Does{good(seen.id)}; };
-    other.late(other.seen[0].id, good(other.seen[0].id));
+    other.script = [](const ReceivedRequest& seen) { return ServerAction{good(seen.id)}; };
+    other.sendLater(other.seen[0].id, good(other.seen[0].id));
     CHECK(first.read().status == 200);
     CHECK(second.read().status == 200);
     CHECK(other.seen.size() == 2);
--- a/tests/gateway/simulated_network.h
+++ b/tests/gateway/simulated_network.h
@@ -1,5 +1,5 @@
-// An event loop with a virtual clock and byte streams between the proxy and scripted peers: bytes travel for
-// a moment, may be cut off, held up or reset, and room for writing may be short. No sockets, no sleeps.
+// Event loop with a virtual clock, and byte streams between the proxy and scripted peers. Streams have a
+// transit delay, may be cut off, delayed or reset, and may have little write space. No sockets, no sleeps.
 #pragma once
 
 #include <algorithm>
@@ -23,15 +23,14 @@
 using http_server::StreamHandler;
 
 inline constexpr Micros kMs = 1000, kSecond = 1000000;
-inline constexpr Micros kTravel = 100;                     // one way
-inline constexpr Micros kProbeEvery = kSecond;             // keep-alive probes of TCP
-inline constexpr Micros kUnacknowledgedMost = 1500 * kMs;  // then the connection breaks
+inline constexpr Micros kTransitTime = 100;                   // one way
+inline constexpr Micros kProbeInterval = kSecond;             // TCP keep-alive probes
+inline constexpr Micros kMaxUnacknowledgedTime = 1500 * kMs;  // then the connection breaks
 inline constexpr std::size_t kUnlimited = static_cast<std::size_t>(-1);
 
 class SimulatedLoop;
 
-// One connection between the proxy and a peer. The peer's side is called by the test, the proxy's by its
-// stream.
+// One connection between the proxy and a peer. The test calls the peer's side, the proxy's stream the other.
 class Connection : public std::enable_shared_from_this<Connection> {
 public:
     explicit Connection(SimulatedLoop& loop);
@@ -39,11 +38,12 @@
     // ---- the peer's side ----
     std::function<void(std::string_view)> onBytes;  // from the proxy
     std::function<void()> onProxyClosed;
-    std::function<void(std::string_view all, std::size_t accepted)> onProxyWrite;  // at the proxy, at once
+    std::function<void(std::string_view all, std::size_t accepted)>
+        onProxyWrite;  // called at once when the proxy writes
     void give(std::string_view bytes);
-    void finish();  // no more bytes follow
+    void finish();  // half-closes: no more bytes follow
     void reset();
-    // Cut off: bytes of both directions wait; healed, they arrive if `lost` is not set.
+    // While cut off, bytes of both directions are held; afterwards they arrive unless `lost` is set.
     void cutOff(bool is);
     bool lost = false;
     std::size_t room = kUnlimited;  // bytes that the proxy may still write
@@ -70,7 +70,8 @@
     }
     void shutdownSend() { finishedByProxy = true; }
 
-    // At the end of the simulation: what was still on its way, or waited for, holds the connection itself.
+    // Breaks reference cycles at the end of the simulation: pending deliveries and handlers hold the
+    // connection.
     void discardPending() {
         held_.clear();
         reader_.reset();
@@ -84,7 +85,7 @@
     void arrive(const std::string& bytes);
 
     SimulatedLoop& loop_;
-    std::string in_;  // arrived, not read by the proxy
+    std::string in_;  // arrived but not read by the proxy
     bool end_ = false;
     bool cutOff_ = false;
     std::deque<std::function<void()>> held_;  // while cut off
@@ -97,9 +98,10 @@
     friend class SimulatedLoop;
 };
 
-// Where the proxy's connects end.
+// Result of a connect by the proxy.
 enum class ConnectResult { accepted, refused, silent, noSocket };
 
+// The event loop with its virtual clock and connections.
 class SimulatedLoop final : public http_server::EventLoop {
 public:
     SimulatedLoop() = default;
@@ -110,18 +112,18 @@
             if (const auto open = connection.lock()) open->discardPending();
         }
     }
-    // Of a full link: bytes to the proxy wait so long in its queue, those of all connections alike.
+    // Queueing delay of a saturated inbound link, the same for all connections.
     Micros inboundQueue = 0;
-    // The same the other way: what was written waits in the socket, from where an abort takes it back.
+    // Queueing delay of the outbound link: written bytes wait in the send buffer, where an abort discards
+    // them.
     Micros outboundQueue = 0;
-    // Of a busy loop: so long after the bytes were taken from the socket a read's handler is called. 0: at
-    // once.
+    // Delay of a busy loop from reading the socket to calling the read handler. 0: none.
     Micros readDelay = 0;
     Micros now() override { return now_; }
     void post(std::function<void()> work) override { posted_.push_back(std::move(work)); }
     void setAlarm(Micros when, http_server::AlarmHandler* handler) override {
         const bool isLate = readDelay != 0 && handler != nullptr;
-        alarm_ = isLate ? std::max(when, now_) + readDelay : when;  // as late as its reads
+        alarm_ = isLate ? std::max(when, now_) + readDelay : when;  // delayed like its reads
         alarmHandler_ = handler;
     }
     std::unique_ptr<ByteStream> newStream() override;
@@ -134,13 +136,13 @@
 
     void at(Micros when, std::function<void()> work) { events_.emplace(when, std::move(work)); }
     void after(Micros delay, std::function<void()> work) { at(now_ + delay, std::move(work)); }
-    // Runs all that happens until then.
+    // Runs all events up to `end`.
     void runUntil(Micros end) {
         while (step(end)) {
         }
         now_ = std::max(now_, end);
     }
-    // A server that is connected to: what becomes of it, and the connection if it is accepted.
+    // Hooks for connects to a server: the result, and the connection if it is accepted.
     std::function<ConnectResult(unsigned short port)> onConnect;
     std::function<void(unsigned short port, const std::shared_ptr<Connection>&)> onAccepted;
 
@@ -187,7 +189,7 @@
         if (result == ConnectResult::noSocket) return false;
         connection_ = loop_->newConnection();
         if (result == ConnectResult::silent) return true;
-        loop_->after(2 * kTravel, [loop = loop_, connection = connection_, port, result, handler] {
+        loop_->after(2 * kTransitTime, [loop = loop_, connection = connection_, port, result, handler] {
             if (connection->closedByProxy) return handler->onConnect(boost::asio::error::operation_aborted);
             if (result == ConnectResult::refused)
                 return handler->onConnect(boost::asio::error::connection_refused);
@@ -239,7 +241,7 @@
         self->in_.append(text);
         self->wakeReader();
     };
-    cutOff_ ? held_.push_back(arrive) : loop_.after(kTravel + loop_.inboundQueue, arrive);
+    cutOff_ ? held_.push_back(arrive) : loop_.after(kTransitTime + loop_.inboundQueue, arrive);
 }
 
 inline void Connection::finish() {
@@ -247,7 +249,7 @@
         self->end_ = true;
         self->wakeReader();
     };
-    cutOff_ ? held_.push_back(arrive) : loop_.after(kTravel + loop_.inboundQueue, arrive);
+    cutOff_ ? held_.push_back(arrive) : loop_.after(kTransitTime + loop_.inboundQueue, arrive);
 }
 
 inline void Connection::reset() {
@@ -259,7 +261,7 @@
             self->loop_.post([handler = std::move(self->writer_)] { handler->onWritable({}); });
         }
     };
-    cutOff_ ? held_.push_back(arrive) : loop_.after(kTravel, arrive);
+    cutOff_ ? held_.push_back(arrive) : loop_.after(kTransitTime, arrive);
 }
 
 inline void Connection::cutOff(bool is) {
@@ -270,7 +272,7 @@
         return;
     }
     if (!lost) {
-        for (auto& arrival : held_) loop_.after(kTravel, arrival);
+        for (auto& arrival : held_) loop_.after(kTransitTime, arrival);
     }
     held_.clear();
 }
@@ -285,7 +287,7 @@
     if (loop_.readDelay != 0) return takeForReader();
     readerWoken_ = true;
     loop_.post([self = shared_from_this()] {
-        if (!self->reader_) return;  // closed meanwhile
+        if (!self->reader_) return;  // closed in the meantime
         const auto handler = std::move(self->reader_);
         self->reader_.reset();
         self->readerWoken_ = false;
@@ -302,8 +304,7 @@
     });
 }
 
-// The bytes leave the socket now, and the handler's turn comes later, whatever becomes of the stream
-// meanwhile.
+// Takes the bytes from the socket now; the handler runs later, whatever happens to the stream meanwhile.
 inline void Connection::takeForReader() {
     const std::size_t bytes = std::min(in_.size(), space_.size());
     std::memcpy(space_.data(), in_.data(), bytes);
@@ -357,11 +358,11 @@
         if (!self->abortedAt_ || *self->abortedAt_ >= leavesAt) self->arrive(text);
     };
     if (!cutOff_) {
-        loop_.after(kTravel + loop_.outboundQueue, arrival);
+        loop_.after(kTransitTime + loop_.outboundQueue, arrival);
         return accepted;
     }
     held_.push_back(arrival);
-    loop_.after(kUnacknowledgedMost, [self = shared_from_this()] {
+    loop_.after(kMaxUnacknowledgedTime, [self = shared_from_this()] {
         if (self->unacknowledged_ == 0 || self->closedByProxy) return;
         self->isReset = true;
         self->wakeReader();
@@ -371,7 +372,7 @@
 
 inline Micros Connection::sincePeerAcknowledged() const {
     if (cutOff_) return now() - std::min(acknowledgedAt_, cutOffAt_);
-    return (now() - acknowledgedAt_) % kProbeEvery;
+    return (now() - acknowledgedAt_) % kProbeInterval;
 }
 
 inline void Connection::close() {
@@ -388,7 +389,7 @@
     const auto arrival = [self = shared_from_this()] {
         if (self->onProxyClosed) self->onProxyClosed();
     };
-    cutOff_ ? held_.push_back(arrival) : loop_.after(kTravel, arrival);
+    cutOff_ ? held_.push_back(arrival) : loop_.after(kTransitTime, arrival);
 }
 
 }  // namespace marldale::edge_proxy::model
--- a/tests/gateway/tables_test.cpp
+++ b/tests/gateway/tables_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the routing tables, sliding limits and retry budgets.
 #include "gateway/upstream/tables.h"
 
 #include <catch2/catch.hpp>
@@ -44,6 +45,7 @@
     line->set_classes(classes);
 }
 
+// Tables with a clock and shorthands for picks and routes.
 struct BoundProxy : Tables {
     Micros now = 100 * kSecond;
     bool applies(const proto::ResourceBatch& orders) { return apply(orders, now); }
@@ -68,7 +70,7 @@
 
 }  // namespace
 
-TEST_CASE("A route is found by its host and the longest start of the path", "[tables]") {
+TEST_CASE("A route is found by its host and the longest path prefix", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     orders.set_index(1);
@@ -101,7 +103,7 @@
     CHECK(proxy.target("b.example", "/only/x") == "");
 }
 
-TEST_CASE("Random routes: the same as by looking at all of them", "[tables]") {
+TEST_CASE("Random routes: the same result as a linear search", "[tables]") {
     Draw draw(GENERATE(range(1, 20)));
     BoundProxy proxy;
     proto::ResourceBatch orders;
@@ -128,7 +130,7 @@
     }
 }
 
-TEST_CASE("Orders are obeyed whole, and never back", "[tables]") {
+TEST_CASE("Batches are applied atomically, and never an older one", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch first;
     first.set_index(5);
@@ -149,7 +151,8 @@
     CHECK(proxy.target("h", "/a/x") == "s");
     CHECK(proxy.target("h", "/old/x") == "");
 
-    // Without an index: as before. Fresh without whole servers: they stay, the rest is void.
+    // Without an index the index stays. A fresh batch without the full server list keeps the servers and
+    // drops the rest.
     proto::ResourceBatch fresh;
     fresh.set_fresh(true);
     fresh.set_index(5);
@@ -181,11 +184,11 @@
     for (const char* id : {"1", "2", "3"}) serverLine(orders, id);
     serverLine(orders, "other", "t");
     REQUIRE(proxy.applies(orders));
-    CHECK(proxy.picks(300).size() == 3);  // none bound: all alike
+    CHECK(proxy.picks(300).size() == 3);  // no table bound: equal weights
 
     proto::ResourceBatch tables;
     weight(tables, 1, "1", 1);
-    weight(tables, 1, "other", 5);  // serves something else
+    weight(tables, 1, "other", 5);  // of another service
     weight(tables, 2, "2", 1);
     weight(tables, 2, "3", 3);
     bind(tables, 1, 1U << 1U);
@@ -194,18 +197,18 @@
     CHECK(proxy.picks(50, Kind::writing) == std::map<std::string, int>{{"1", 50}});
     const auto reads = proxy.picks(4000);
     CHECK(reads.size() == 2);
-    // Of two drawn, the one with (in flight + 1) / weight lower: 15 in 16 for three to one.
+    // Of two draws the server with the lower (in flight + 1) / weight wins: 15 of 16 for weights 3 to 1.
     CHECK(reads.at("3") > 3600);
     CHECK(reads.at("3") < 3900);
 
-    // None of its lines usable: all servers count alike.
+    // If no server of the table is usable, all servers have equal weights.
     proto::ResourceBatch gone;
     gone.add_resources()->set_server_drop("1");
     REQUIRE(proxy.applies(gone));
     CHECK(proxy.picks(200, Kind::writing).size() == 2);
 }
 
-TEST_CASE("Caps hold, and a server without room waits for nobody", "[tables]") {
+TEST_CASE("Caps hold, and servers without capacity are skipped", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     serverLine(orders, "1")->set_in_flight_most(2);
@@ -229,7 +232,7 @@
     CHECK(proxy.pick(proxy.s(), Kind::writing, {}, proxy.now).server == two);
 }
 
-TEST_CASE("An emptied zone gets nothing, and its servers may be cold when it is back", "[tables]") {
+TEST_CASE("A drained zone gets nothing, and its servers may be cold when it returns", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     auto* service = orders.add_resources()->mutable_service();
@@ -245,7 +248,7 @@
     REQUIRE(proxy.applies(back));
     const ServerPtr cold = proxy.s().servers[0];
     CHECK(proxy.mayBeCold(*cold, proxy.now));
-    CHECK(proxy.picks(50) == std::map<std::string, int>{{"2", 50}});  // a warm one has room
+    CHECK(proxy.picks(50) == std::map<std::string, int>{{"2", 50}});  // a warm server has capacity
     proto::ResourceBatch known;
     serverLine(known, "1", "s", "a");
     REQUIRE(proxy.applies(known));
@@ -253,7 +256,7 @@
     CHECK(proxy.picks(50).size() == 2);
 }
 
-TEST_CASE("A cold server gets no more than its limit in any second", "[tables]") {
+TEST_CASE("A cold server never exceeds its limit in any second", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     auto* line = serverLine(orders, "1");
@@ -276,11 +279,11 @@
     for (std::size_t k = 3; k < sends.size(); ++k) CHECK(sends[k] - sends[k - 3] > kSecond);
 }
 
-TEST_CASE("Stranded, every server counts as possibly cold", "[tables]") {
+TEST_CASE("Without a controller every server counts as possibly cold", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     serverLine(orders, "1")->set_cold_most(2);
-    serverLine(orders, "2");  // none while cold
+    serverLine(orders, "2");  // nothing allowed while cold
     REQUIRE(proxy.applies(orders));
     proxy.setIsolated(true);
     int sent = 0;
@@ -296,22 +299,22 @@
     CHECK(proxy.picks(50).size() == 2);
 }
 
-TEST_CASE("A limit keeps what was counted when it changes", "[tables]") {
+TEST_CASE("A sliding limit keeps its recorded events when its size changes", "[tables]") {
     SlidingLimit limit;
     CHECK_FALSE(limit.allows(0, kSecond));
-    limit.setMost(3);
+    limit.setMaxCount(3);
     for (const Micros at : {1, 2, 3}) limit.count(at);
-    limit.setMost(2);
+    limit.setMaxCount(2);
     CHECK_FALSE(limit.allows(kSecond + 1, kSecond));
     CHECK(limit.allows(kSecond + 2, kSecond));
-    limit.setMost(4);
+    limit.setMaxCount(4);
     CHECK(limit.allows(4, kSecond));
     limit.count(4);
     limit.count(4);
     CHECK_FALSE(limit.allows(kSecond + 1, kSecond));
 }
 
-TEST_CASE("Further tries never exceed burst and part, whatever the order of events", "[tables]") {
+TEST_CASE("Retries never exceed the budget's burst and rates, whatever the order of events", "[tables]") {
     Draw draw(GENERATE(range(1, 30)));
     const Budget::Rates rates{0.15, 0.5, 4};
     Budget budget;
@@ -319,29 +322,29 @@
     budget.fill();
     struct Event {
         Micros at;
-        bool further;
+        bool isRetry;
     };
     std::vector<Event> events;
     Micros now = 0;
     for (int k = 0; k < 3000; ++k) {
         now += static_cast<Micros>(draw.next() % 20000);
         if (draw.next() % 3 != 0) {
-            budget.came(1);
+            budget.onRequest(1);
             events.push_back({now, false});
         } else if (budget.take(now, false)) {
             events.push_back({now, true});
         }
     }
     for (std::size_t from = 0; from < events.size(); from += 37) {
-        double came = 0, further = 0;
+        double requests = 0, retries = 0;
         for (std::size_t k = from; k < events.size() && events[k].at < events[from].at + 10 * kSecond; ++k) {
-            (events[k].further ? further : came) += 1;
+            (events[k].isRetry ? retries : requests) += 1;
         }
-        CHECK(further <= rates.burst + rates.perRequest * came + rates.perS * 10 + 1e-6);
+        CHECK(retries <= rates.burst + rates.perRequest * requests + rates.perS * 10 + 1e-6);
     }
 }
 
-TEST_CASE("A level lets in so many a second", "[tables]") {
+TEST_CASE("A level limits the requests per second", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     serverLine(orders, "1");
@@ -364,17 +367,17 @@
     CHECK(writing <= 205);
 }
 
-TEST_CASE("What was counted is told once", "[tables]") {
+TEST_CASE("Counters are reported once", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     serverLine(orders, "1");
     serverLine(orders, "2");
     REQUIRE(proxy.applies(orders));
-    proxy.cameTo(proxy.s(), Kind::fetchDown);
-    proxy.cameTo(proxy.s(), Kind::fetchDown);
+    proxy.countRequest(proxy.s(), Kind::fetchDown);
+    proxy.countRequest(proxy.s(), Kind::fetchDown);
     proxy.s().servers[0]->tally = {4, 1, 3, 300};
-    proxy.voided(*proxy.s().servers[1]);
-    proxy.voided(*proxy.s().servers[1]);
+    proxy.markReplaced(*proxy.s().servers[1]);
+    proxy.markReplaced(*proxy.s().servers[1]);
     proto::LoadReport sums;
     proxy.takeLoadReport(sums);
     REQUIRE(sums.servers_size() == 1);
