--- a/tests/gateway/tables_test.cpp
+++ b/tests/gateway/tables_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the routing tables, sliding limits and retry budgets.
 #include "gateway/upstream/tables.h"
 
 #include <catch2/catch.hpp>
@@ -44,9 +45,10 @@
     line->set_classes(classes);
 }
 
+// Tables with a clock and shorthands for picks and routes.
 struct BoundProxy : Tables {
     Micros now = 100 * kSecond;
-    bool obeys(const proto::ResourceBatch& orders) { return obey(orders, now); }
+    bool applies(const proto::ResourceBatch& orders) { return apply(orders, now); }
     Service& s() {
         Route route;
         route.shares.push_back({"s", 1});
@@ -68,7 +70,7 @@
 
 }  // namespace
 
-TEST_CASE("A route is found by its host and the longest start of the path", "[tables]") {
+TEST_CASE("A route is found by its host and the longest path prefix", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     orders.set_index(1);
@@ -78,7 +80,7 @@
     route(orders, "a.example", "/a/b/c/d/", "abcd");
     route(orders, "a.example", "/b/x/", "bx");
     route(orders, "b.example", "/only/", "only");
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     CHECK(proxy.target("a.example", "/") == "root");
     CHECK(proxy.target("a.example", "/a") == "root");
     CHECK(proxy.target("a.example", "/a/") == "a");
@@ -96,12 +98,12 @@
     drop.set_index(2);
     drop.add_resources()->set_route_drop("a.example /a/b/");
     drop.add_resources()->set_route_drop("b.example /only/");
-    REQUIRE(proxy.obeys(drop));
+    REQUIRE(proxy.applies(drop));
     CHECK(proxy.target("a.example", "/a/b/c/") == "a");
     CHECK(proxy.target("b.example", "/only/x") == "");
 }
 
-TEST_CASE("Random routes: the same as by looking at all of them", "[tables]") {
+TEST_CASE("Random routes: the same result as a linear search", "[tables]") {
     Draw draw(GENERATE(range(1, 20)));
     BoundProxy proxy;
     proto::ResourceBatch orders;
@@ -117,7 +119,7 @@
     };
     for (int k = 0; k < 40; ++k) starts.insert(path());
     for (const std::string& start : starts) route(orders, "h", start, start);
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     for (int k = 0; k < 300; ++k) {
         const std::string asked = path() + "x";
         std::string longest;
@@ -128,7 +130,7 @@
     }
 }
 
-TEST_CASE("Orders are obeyed whole, and never back", "[tables]") {
+TEST_CASE("Batches are applied atomically, and never an older one", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch first;
     first.set_index(5);
@@ -137,7 +139,7 @@
     route(first, "h", "/a/", "s");
     serverLine(first, "1");
     serverLine(first, "2");
-    REQUIRE(proxy.obeys(first));
+    REQUIRE(proxy.applies(first));
     CHECK(proxy.index() == 5);
     CHECK(proxy.picks(50).size() == 2);
 
@@ -145,16 +147,17 @@
     old.set_index(4);
     old.set_fresh(true);
     route(old, "h", "/old/", "s");
-    CHECK_FALSE(proxy.obeys(old));
+    CHECK_FALSE(proxy.applies(old));
     CHECK(proxy.target("h", "/a/x") == "s");
     CHECK(proxy.target("h", "/old/x") == "");
 
-    // Without an index: as before. Fresh without whole servers: they stay, the rest is void.
+    // Without an index the index stays. A fresh batch without the full server list keeps the servers and
+    // drops the rest.
     proto::ResourceBatch fresh;
     fresh.set_fresh(true);
     fresh.set_index(5);
     route(fresh, "h", "/b/", "s");
-    REQUIRE(proxy.obeys(fresh));
+    REQUIRE(proxy.applies(fresh));
     CHECK(proxy.target("h", "/a/x") == "");
     CHECK(proxy.target("h", "/b/x") == "s");
     CHECK(proxy.picks(50).size() == 2);
@@ -164,13 +167,13 @@
     whole.set_servers_whole(true);
     serverLine(whole, "2");
     const ServerPtr kept = proxy.pick(proxy.s(), Kind::readOnly, {}, proxy.now).server;
-    REQUIRE(proxy.obeys(whole));
+    REQUIRE(proxy.applies(whole));
     CHECK(proxy.picks(50) == std::map<std::string, int>{{"2", 50}});
     CHECK(proxy.index() == 5);
 
     proto::ResourceBatch drop;
     drop.add_resources()->set_server_drop("2");
-    REQUIRE(proxy.obeys(drop));
+    REQUIRE(proxy.applies(drop));
     CHECK(proxy.picks(1) == std::map<std::string, int>{{"none", 1}});
     CHECK_FALSE(kept->usable());
 }
@@ -180,37 +183,37 @@
     proto::ResourceBatch orders;
     for (const char* id : {"1", "2", "3"}) serverLine(orders, id);
     serverLine(orders, "other", "t");
-    REQUIRE(proxy.obeys(orders));
-    CHECK(proxy.picks(300).size() == 3);  // none bound: all alike
+    REQUIRE(proxy.applies(orders));
+    CHECK(proxy.picks(300).size() == 3);  // no table bound: equal weights
 
     proto::ResourceBatch tables;
     weight(tables, 1, "1", 1);
-    weight(tables, 1, "other", 5);  // serves something else
+    weight(tables, 1, "other", 5);  // of another service
     weight(tables, 2, "2", 1);
     weight(tables, 2, "3", 3);
     bind(tables, 1, 1U << 1U);
     bind(tables, 2, 1U << 0U | 1U << 2U);
-    REQUIRE(proxy.obeys(tables));
+    REQUIRE(proxy.applies(tables));
     CHECK(proxy.picks(50, Kind::writing) == std::map<std::string, int>{{"1", 50}});
     const auto reads = proxy.picks(4000);
     CHECK(reads.size() == 2);
-    // Of two drawn, the one with (in flight + 1) / weight lower: 15 in 16 for three to one.
+    // Of two draws the server with the lower (in flight + 1) / weight wins: 15 of 16 for weights 3 to 1.
     CHECK(reads.at("3") > 3600);
     CHECK(reads.at("3") < 3900);
 
-    // None of its lines usable: all servers count alike.
+    // If no server of the table is usable, all servers have equal weights.
     proto::ResourceBatch gone;
     gone.add_resources()->set_server_drop("1");
-    REQUIRE(proxy.obeys(gone));
+    REQUIRE(proxy.applies(gone));
     CHECK(proxy.picks(200, Kind::writing).size() == 2);
 }
 
-TEST_CASE("Caps hold, and a server without room waits for nobody", "[tables]") {
+TEST_CASE("Caps hold, and servers without capacity are skipped", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     serverLine(orders, "1")->set_in_flight_most(2);
     serverLine(orders, "2")->set_connections_most(1);
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     for (int k = 0; k < 3; ++k) {
         const Pick pick = proxy.pick(proxy.s(), Kind::writing, {}, proxy.now);
         REQUIRE(pick.room == Room::found);
@@ -229,7 +232,7 @@
     CHECK(proxy.pick(proxy.s(), Kind::writing, {}, proxy.now).server == two);
 }
 
-TEST_CASE("An emptied zone gets nothing, and its servers may be cold when it is back", "[tables]") {
+TEST_CASE("A drained zone gets nothing, and its servers may be cold when it returns", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     auto* service = orders.add_resources()->mutable_service();
@@ -238,22 +241,22 @@
     serverLine(orders, "1", "s", "a")->set_cold_most(1);
     serverLine(orders, "2", "s", "b");
     orders.add_resources()->set_zone_empty("a");
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     CHECK(proxy.picks(50) == std::map<std::string, int>{{"2", 50}});
     proto::ResourceBatch back;
     back.add_resources()->set_zone_filled("a");
-    REQUIRE(proxy.obeys(back));
+    REQUIRE(proxy.applies(back));
     const ServerPtr cold = proxy.s().servers[0];
     CHECK(proxy.mayBeCold(*cold, proxy.now));
-    CHECK(proxy.picks(50) == std::map<std::string, int>{{"2", 50}});  // a warm one has room
+    CHECK(proxy.picks(50) == std::map<std::string, int>{{"2", 50}});  // a warm server has capacity
     proto::ResourceBatch known;
     serverLine(known, "1", "s", "a");
-    REQUIRE(proxy.obeys(known));
+    REQUIRE(proxy.applies(known));
     CHECK_FALSE(proxy.mayBeCold(*cold, proxy.now));
     CHECK(proxy.picks(50).size() == 2);
 }
 
-TEST_CASE("A cold server gets no more than its limit in any second", "[tables]") {
+TEST_CASE("A cold server never exceeds its limit in any second", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     auto* line = serverLine(orders, "1");
@@ -261,7 +264,7 @@
     line->set_cold_for(20 * kSecond);
     serverLine(orders, "2")->set_cold_most(0);
     orders.mutable_resources(1)->mutable_server()->set_cold_for(20 * kSecond);
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     std::vector<Micros> sends;
     Draw draw(7);
     for (int k = 0; k < 3000; ++k) {
@@ -276,13 +279,13 @@
     for (std::size_t k = 3; k < sends.size(); ++k) CHECK(sends[k] - sends[k - 3] > kSecond);
 }
 
-TEST_CASE("Stranded, every server counts as possibly cold", "[tables]") {
+TEST_CASE("Without a controller every server counts as possibly cold", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     serverLine(orders, "1")->set_cold_most(2);
-    serverLine(orders, "2");  // none while cold
-    REQUIRE(proxy.obeys(orders));
-    proxy.strand(true);
+    serverLine(orders, "2");  // nothing allowed while cold
+    REQUIRE(proxy.applies(orders));
+    proxy.setIsolated(true);
     int sent = 0;
     for (int k = 0; k < 10; ++k) {
         const Pick pick = proxy.pick(proxy.s(), Kind::readOnly, {}, proxy.now);
@@ -292,26 +295,26 @@
         ++sent;
     }
     CHECK(sent == 2);
-    proxy.strand(false);
+    proxy.setIsolated(false);
     CHECK(proxy.picks(50).size() == 2);
 }
 
-TEST_CASE("A limit keeps what was counted when it changes", "[tables]") {
+TEST_CASE("A sliding limit keeps its recorded events when its size changes", "[tables]") {
     SlidingLimit limit;
     CHECK_FALSE(limit.allows(0, kSecond));
-    limit.setMost(3);
+    limit.setMaxCount(3);
     for (const Micros at : {1, 2, 3}) limit.count(at);
-    limit.setMost(2);
+    limit.setMaxCount(2);
     CHECK_FALSE(limit.allows(kSecond + 1, kSecond));
     CHECK(limit.allows(kSecond + 2, kSecond));
-    limit.setMost(4);
+    limit.setMaxCount(4);
     CHECK(limit.allows(4, kSecond));
     limit.count(4);
     limit.count(4);
     CHECK_FALSE(limit.allows(kSecond + 1, kSecond));
 }
 
-TEST_CASE("Further tries never exceed burst and part, whatever the order of events", "[tables]") {
+TEST_CASE("Retries never exceed the budget's burst and rates, whatever the order of events", "[tables]") {
     Draw draw(GENERATE(range(1, 30)));
     const Budget::Rates rates{0.15, 0.5, 4};
     Budget budget;
@@ -319,29 +322,29 @@
     budget.fill();
     struct Event {
         Micros at;
-        bool further;
+        bool isRetry;
     };
     std::vector<Event> events;
     Micros now = 0;
     for (int k = 0; k < 3000; ++k) {
         now += static_cast<Micros>(draw.next() % 20000);
         if (draw.next() % 3 != 0) {
-            budget.came(1);
+            budget.onRequest(1);
             events.push_back({now, false});
         } else if (budget.take(now, false)) {
             events.push_back({now, true});
         }
     }
     for (std::size_t from = 0; from < events.size(); from += 37) {
-        double came = 0, further = 0;
+        double requests = 0, retries = 0;
         for (std::size_t k = from; k < events.size() && events[k].at < events[from].at + 10 * kSecond; ++k) {
-            (events[k].further ? further : came) += 1;
+            (events[k].isRetry ? retries : requests) += 1;
         }
-        CHECK(further <= rates.burst + rates.perRequest * came + rates.perS * 10 + 1e-6);
+        CHECK(retries <= rates.burst + rates.perRequest * requests + rates.perS * 10 + 1e-6);
     }
 }
 
-TEST_CASE("A level lets in so many a second", "[tables]") {
+TEST_CASE("A level limits the requests per second", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     serverLine(orders, "1");
@@ -352,7 +355,7 @@
     level->set_table(4);
     level->set_classes(1U << 1U);
     level->set_limit(20);
-    REQUIRE(proxy.obeys(orders));
+    REQUIRE(proxy.applies(orders));
     int writing = 0, reading = 0;
     for (int k = 0; k < 1000; ++k) {
         proxy.now += 10000;
@@ -364,17 +367,17 @@
     CHECK(writing <= 205);
 }
 
-TEST_CASE("What was counted is told once", "[tables]") {
+TEST_CASE("Counters are reported once", "[tables]") {
     BoundProxy proxy;
     proto::ResourceBatch orders;
     serverLine(orders, "1");
     serverLine(orders, "2");
-    REQUIRE(proxy.obeys(orders));
-    proxy.cameTo(proxy.s(), Kind::fetchDown);
-    proxy.cameTo(proxy.s(), Kind::fetchDown);
+    REQUIRE(proxy.applies(orders));
+    proxy.countRequest(proxy.s(), Kind::fetchDown);
+    proxy.countRequest(proxy.s(), Kind::fetchDown);
     proxy.s().servers[0]->tally = {4, 1, 3, 300};
-    proxy.voided(*proxy.s().servers[1]);
-    proxy.voided(*proxy.s().servers[1]);
+    proxy.markReplaced(*proxy.s().servers[1]);
+    proxy.markReplaced(*proxy.s().servers[1]);
     proto::LoadReport sums;
     proxy.takeLoadReport(sums);
     REQUIRE(sums.servers_size() == 1);
