--- a/tests/gateway/membership_plan_test.cpp
+++ b/tests/gateway/membership_plan_test.cpp
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-TEST_CASE("A fourth machine stays a learner, and two additional machines become voters", "[raft][membership]") {
+TEST_CASE("A fourth machine stays a learner, and two additional machines become voters",
+          "[raft][membership]") {
     const std::vector voters{machine("a", ""), machine("b", ""), machine("c", "")};
     CHECK_FALSE(planMembership(voters, {machine("d", "")}, kMaxVoters));
     const auto change = planMembership(voters, {machine("d", ""), machine("e", "")}, kMaxVoters);
