--- a/bench/learning_rig.cpp
+++ b/bench/learning_rig.cpp
@@ -95,7 +95,7 @@
         rev_ = news.rev;
         std::map<std::string, recovery::Knowledge::ListedServer> all;
         for (const auto& [uid, e] : list_) all[uid] = {e.state, e.bootUs / 1000};
-        memory_.updateList(rev_, all, now);
+        memory_.updateServerList(rev_, all, now);
     }
     // Words of one moment, a list's among them or not, and the turn that follows.
     void moment(const std::vector<standin::Word>& words, const std::optional<protocol::CatalogNews>& list,
--- a/bench/measure_learning.cpp
+++ b/bench/measure_learning.cpp
@@ -156,7 +156,7 @@
             Knowledge asker("n3", 1, rules);
             asker.updateList(1, list, 0);
             start = std::chrono::steady_clock::now();
-            facts = asker.merge(*back, 0, kSecond).taken;
+            facts = asker.merge(*back, 0, kSecond).merged;
             merge = std::min(merge, msSince(start));
             start = std::chrono::steady_clock::now();
             marldale::recovery::writeSnapshot(file, {handover, 1});
--- a/src/decisions/attempts/outcome.h
+++ b/src/decisions/attempts/outcome.h
@@ -1,5 +1,5 @@
-// What the end of a try shows about its effect. Only requests that must never run twice have effects; for
-// them, an outcome that proves nothing counts as one that may have taken effect.
+// Derives from how an attempt ended whether it may have had side effects. Only non-idempotent requests count
+// as having effects; for these, an inconclusive outcome counts as possibly executed.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +11,10 @@
 /// How a try ended.
 enum class Ended : std::uint8_t {
     answered,     // with a response; its status says more
-    notRecorded,  // unknown: the recording has no status
-    aborted,      // the client went away
+    notRecorded,  // unknown: the traffic recording contains no status
+    aborted,      // the client closed the connection
     timedOut,     // there was no response in time
-    cut,          // the connection, or the recording, broke off
+    cut,          // the connection closed, or the recording ended, before the response was complete
     neverSent,    // no byte reached a server: the connection was refused, or the request was blocked
 };
 
@@ -26,13 +26,14 @@
     bool operator==(const Answer&) const = default;
 };
 
-/// Whether a try has taken effect; `none`: its class has no effects.
+/// Whether an attempt has taken effect; `none`: the request class is idempotent.
 enum class Effect : std::uint8_t { none, done, notDone, unknown };
 
 [[nodiscard]] const char* name(Ended ended);
 [[nodiscard]] const char* name(Effect effect);
 
-/// The effect that an answer shows. `hasEffect`: the request's class must not run twice.
+/// Whether the attempt took effect, as far as the answer proves it. `hasEffect`: the request's class must not
+/// run twice.
 [[nodiscard]] Effect effectOf(const Answer& answer, bool hasEffect);
 
 /// Whether clients usually retry after such an answer: no response, 5xx, 408, 425, 429 or 499.
--- a/src/decisions/recovery/coordinator.cpp
+++ b/src/decisions/recovery/coordinator.cpp
@@ -1,4 +1,4 @@
-// Turns what is known, and events of peers, into actions.
+// Computes the planner's next actions from stored facts and peer events.
 #include "recovery/coordinator.h"
 
 #include <algorithm>
@@ -44,10 +44,10 @@
     peers_.setAddress(address);
 }
 
-void Coordinator::updateList(std::uint64_t version, const std::map<std::string, Knowledge::ListedServer>& all,
-                             Micros now) {
+void Coordinator::updateServerList(std::uint64_t version,
+                                   const std::map<std::string, Knowledge::ListedServer>& all, Micros now) {
     knowledge_.updateList(version, all, now);
-    changed_ = true;
+    sumsDirty_ = true;
 }
 
 void Coordinator::proxyLeft(std::uint32_t proxy) {
@@ -61,7 +61,7 @@
 }
 
 MergeCounts Coordinator::mergeSnapshot(const Handover& handover, Micros age, Micros now) {
-    changed_ = true;
+    sumsDirty_ = true;
     return knowledge_.merge(handover, age, now);
 }
 
@@ -75,11 +75,11 @@
     }
     // The peer may have exported the handover up to the cache time before the query.
     const MergeCounts counts = knowledge_.merge(*handover, transit + handoverCacheTime_, now);
-    const bool useful = counts.taken + counts.known > 0 && knowledge_.hasRecalled(now);
+    const bool useful = counts.merged + counts.known > 0 && knowledge_.hasRecalled(now);
     queries_.finish(peer, useful, now);
-    changed_ = true;
+    sumsDirty_ = true;
     logLines_.push_back("peer " + peer + " answered within " + std::to_string(transit / 1000) + " ms: " +
-                        std::to_string(counts.taken) + " facts taken, " + std::to_string(counts.known) +
+                        std::to_string(counts.merged) + " facts taken, " + std::to_string(counts.known) +
                         " already known, " + std::to_string(counts.refused) + " refused");
 }
 
@@ -87,7 +87,7 @@
     for (auto& reply : peers_.received(message, now)) replies_.push_back(std::move(reply));
 }
 
-// Emits each sum once. Of a sum that has grown since, only the difference is emitted.
+// Emits each sum once; if it grows later, emits only the increase.
 void Coordinator::addSums(Micros now, CoordinatorActions& out) {
     for (const RecalledSum& sum : knowledge_.recalled(now)) {
         RecalledSum& emitted =
@@ -131,12 +131,12 @@
     out.logLines = std::exchange(logLines_, {});
     addPeerActions(now, out);
     addHolds(now, out);
-    if (std::exchange(changed_, false) && queries_.windowOpen(now)) addSums(now, out);
+    if (std::exchange(sumsDirty_, false) && queries_.windowOpen(now)) addSums(now, out);
     return out;
 }
 
 std::optional<Micros> Coordinator::nextDue(Micros now) const {
-    if (changed_ || !replies_.empty() || !logLines_.empty()) return now;
+    if (sumsDirty_ || !replies_.empty() || !logLines_.empty()) return now;
     std::optional<Micros> out;
     const auto useEarlier = [&](std::optional<Micros> at) {
         if (at && (!out || *at < *out)) out = at;
--- a/src/decisions/recovery/coordinator.h
+++ b/src/decisions/recovery/coordinator.h
@@ -23,7 +23,7 @@
     std::uint64_t seed = 0;
     std::vector<PeerEndpoint> peers;  // the peers known at the start
     KnowledgeRules knowledge;
-    PeerQueryRules peerQueries;
+    PeerQuerySettings peerQueries;
     membership::PeerRules membership;
 };
 
@@ -56,8 +56,8 @@
 
     // ---- Inputs ----
 
-    void updateList(std::uint64_t version, const std::map<std::string, Knowledge::ListedServer>& all,
-                    Micros now);
+    void updateServerList(std::uint64_t version, const std::map<std::string, Knowledge::ListedServer>& all,
+                          Micros now);
     void recordOutcomes(const OutcomeObservation& observation, Micros now) {
         knowledge_.recordOutcomes(observation, now);
     }
@@ -110,7 +110,7 @@
     std::set<std::string> heldBack_;
     std::vector<membership::PeerMessage> replies_;
     std::vector<std::string> logLines_;
-    bool changed_ = false;  // there may be sums to emit
+    bool sumsDirty_ = false;  // there may be sums to emit
 };
 
 }  // namespace marldale::recovery
--- a/src/decisions/recovery/knowledge.cpp
+++ b/src/decisions/recovery/knowledge.cpp
@@ -179,7 +179,7 @@
                       std::nullopt,
                       fact.load};
         if (fact.failsFor > 0) sum.failingSince = now - fact.failsFor - elapsed;
-        ++(storeSum({fact.server, fact.zone, fact.origin}, std::move(sum)) ? out.taken : out.known);
+        ++(storeSum({fact.server, fact.zone, fact.origin}, std::move(sum)) ? out.merged : out.known);
     }
     for (const ListedFact& fact : handover.listed) mergeListed(fact, elapsed, now, out);
     for (const DemandFact& fact : handover.demand) mergeDemand(fact, elapsed, now, out);
@@ -211,7 +211,7 @@
         known->second.fact =
             std::move(aged);  // `firstHeardAt` stays: repeating a claim does not extend a hold
     }
-    ++out.taken;
+    ++out.merged;
 }
 
 void Knowledge::mergeDemand(const DemandFact& fact, Micros transit, Micros now, MergeCounts& out) {
@@ -225,7 +225,7 @@
     const Micros observedAt = now - fact.age - transit;
     if (fact.version > stored.version) {
         stored = {fact.version, observedAt, fact.rate, fact.proxies};
-        ++out.taken;
+        ++out.merged;
     } else {
         if (fact.version == stored.version) stored.observedAt = std::min(stored.observedAt, observedAt);
         ++out.known;
--- a/src/decisions/recovery/knowledge.h
+++ b/src/decisions/recovery/knowledge.h
@@ -87,7 +87,7 @@
 // Result of a merge: facts that added something, facts that were known already, and facts that were invalid
 // or exceeded a limit.
 struct MergeCounts {
-    std::size_t taken = 0, known = 0, refused = 0;
+    std::size_t merged = 0, known = 0, refused = 0;
 };
 
 // Sum of all origins for one server and zone, weighted by age, for the decision module.
--- a/src/decisions/recovery/peer_queries.cpp
+++ b/src/decisions/recovery/peer_queries.cpp
@@ -8,12 +8,12 @@
 
 namespace marldale::recovery {
 
-PeerQueries::PeerQueries(PeerQueryRules rules, std::uint64_t seed, Micros now)
-    : rules_(rules), startedAt_(now), random_(seed) {}
+PeerQueries::PeerQueries(PeerQuerySettings rules, std::uint64_t seed, Micros now)
+    : rules_(rules), startedAt_(now), rngState_(seed) {}
 
 void PeerQueries::addPeer(const std::string& peer, Micros now) {
     if (peers_.count(peer) != 0) return;
-    peers_[peer] = {false, false, now, 0, bytes::mixed(++random_)};
+    peers_[peer] = {false, false, now, 0, bytes::mixed(++rngState_)};
 }
 
 std::vector<std::string> PeerQueries::takeDue(Micros now) {
--- a/src/decisions/recovery/snapshot.cpp
+++ b/src/decisions/recovery/snapshot.cpp
@@ -20,7 +20,7 @@
 constexpr std::string_view kMagic = "MRLS";
 constexpr std::size_t kHeaderBytes = 20, kChecksumOffset = 12;
 
-// XXH64 of all bytes but the magic and the hash itself.
+// XXH64 of all bytes except the magic and the checksum field.
 std::uint64_t checksumOf(std::string_view bytes) {
     XXH64_state_t state;
     XXH64_reset(&state, 0);
@@ -34,14 +34,14 @@
 }
 
 // Closes a file descriptor at the end of its scope.
-class Descriptor {
+class ScopedFd {
 public:
-    explicit Descriptor(int fd) : fd_(fd) {}
-    ~Descriptor() {
+    explicit ScopedFd(int fd) : fd_(fd) {}
+    ~ScopedFd() {
         if (fd_ >= 0) ::close(fd_);
     }
-    Descriptor(const Descriptor&) = delete;
-    Descriptor& operator=(const Descriptor&) = delete;
+    ScopedFd(const ScopedFd&) = delete;
+    ScopedFd& operator=(const ScopedFd&) = delete;
     [[nodiscard]] int get() const { return fd_; }
 
 private:
@@ -52,7 +52,7 @@
 
 std::string encode(const Snapshot& snapshot) {
     std::string out(kMagic);
-    bytes::putFixed<std::int64_t>(out, snapshot.wallUs);
+    bytes::putFixed<std::int64_t>(out, snapshot.exportedAtUs);
     bytes::putFixed<std::uint64_t>(out, 0);
     out += encode(snapshot.handover);
     std::string checksum;
@@ -77,7 +77,7 @@
 void writeSnapshot(const std::string& path, const Snapshot& snapshot) {
     const std::string temporary = path + ".part", bytes = encode(snapshot);
     {
-        const Descriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+        const ScopedFd file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
         if (file.get() < 0) throwErrno("cannot write " + temporary);
         std::size_t written = 0;
         while (written < bytes.size()) {
@@ -98,7 +98,7 @@
 
 std::optional<Snapshot> readSnapshot(const std::string& path, std::string& error) {
     error.clear();
-    const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
+    const ScopedFd file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
     if (file.get() < 0) {
         if (errno != ENOENT) error = std::string("cannot be opened: ") + std::strerror(errno);
         return std::nullopt;
@@ -123,8 +123,8 @@
 }
 
 std::optional<Micros> snapshotAge(const Snapshot& snapshot, std::int64_t wallNowUs) {
-    if (snapshot.wallUs > wallNowUs || snapshot.wallUs <= 0) return std::nullopt;
-    return wallNowUs - snapshot.wallUs;
+    if (snapshot.exportedAtUs > wallNowUs || snapshot.exportedAtUs <= 0) return std::nullopt;
+    return wallNowUs - snapshot.exportedAtUs;
 }
 
 }  // namespace marldale::recovery
--- a/src/decisions/recovery/snapshot.h
+++ b/src/decisions/recovery/snapshot.h
@@ -13,7 +13,7 @@
 // A handover and the wall time of its export.
 struct Snapshot {
     Handover handover;
-    std::int64_t wallUs = 0;
+    std::int64_t exportedAtUs = 0;
     bool operator==(const Snapshot&) const = default;
 };
 
--- a/src/gateway/configuration/configuration.cpp
+++ b/src/gateway/configuration/configuration.cpp
@@ -17,7 +17,8 @@
 namespace marldale::configuration {
 namespace {
 
-constexpr Micros kTargetExcessLimitUs = 60000000;  // a target this far above give_up is a mistake
+// Targets that exceed give_up by this much or more are rejected.
+constexpr Micros kTargetExcessLimitUs = 60000000;
 
 absl::Status invalidAt(const std::string& place, const std::string& what) {
     return absl::InvalidArgumentError(absl::StrCat(place, ": ", what));
@@ -29,18 +30,18 @@
                : std::string();
 }
 // A location in a configuration. Formatted only for an error message.
-struct Place {
-    const char* list;  // ends with a slash if it is a list
-    unsigned at = 0;
+struct JsonLocation {
+    const char* path;  // JSON pointer; a trailing slash means that `index` follows
+    unsigned index = 0;
     int rule = -1;  // index among the rules of a listener; negative: none
     [[nodiscard]] std::string text(const char* rest = "") const {
-        if (list[std::strlen(list) - 1] != '/') return absl::StrCat(list, rest);
-        return rule < 0 ? absl::StrCat(list, at, rest) : absl::StrCat(list, at, "/rules/", rule, rest);
+        if (path[std::strlen(path) - 1] != '/') return absl::StrCat(path, rest);
+        return rule < 0 ? absl::StrCat(path, index, rest) : absl::StrCat(path, index, "/rules/", rule, rest);
     }
 };
 
 absl::StatusOr<Micros> durationMember(const rapidjson::Value& from, const char* key, Micros defaultValue,
-                                      const Place& place, const char* member = "") {
+                                      const JsonLocation& place, const char* member = "") {
     if (!from.HasMember(key)) return defaultValue;
     auto read = settings::readTime(stringMember(from, key));
     if (!read.ok())
@@ -48,7 +49,7 @@
     return read;
 }
 
-absl::Status readRoute(const rapidjson::Value& rule, const std::string& host, const Place& place,
+absl::Status readRoute(const rapidjson::Value& rule, const std::string& host, const JsonLocation& place,
                        const std::set<std::string>& services, proto::RouteResource& out) {
     out.set_name(stringMember(rule, "name"));
     out.set_host_name(absl::AsciiStrToLower(host));
@@ -76,10 +77,10 @@
     std::uint64_t sum = 0;
     const auto add = [&](const std::string& service, std::uint64_t share) -> absl::Status {
         if (!services.count(service)) return invalidAt(place.text("/action"), "names an unknown service");
-        auto* line = out.add_shares();
-        line->set_service(service);
-        line->set_share(static_cast<std::uint32_t>(std::min<std::uint64_t>(share, 1000000000)));
-        sum += line->share();
+        auto* addedShare = out.add_shares();
+        addedShare->set_service(service);
+        addedShare->set_share(static_cast<std::uint32_t>(std::min<std::uint64_t>(share, 1000000000)));
+        sum += addedShare->share();
         return absl::OkStatus();
     };
     if (single) {
@@ -103,7 +104,7 @@
     if (limits.HasMember("max_header_bytes"))
         out.set_max_header_bytes(limits["max_header_bytes"].GetUint64());
     if (limits.HasMember("max_body_bytes")) out.set_max_body_bytes(limits["max_body_bytes"].GetUint64());
-    const Place limitsPlace{"#/limits"};
+    const JsonLocation limitsPlace{"#/limits"};
     const auto wait = durationMember(limits, "header_wait", out.header_wait(), limitsPlace);
     const auto quiet = durationMember(limits, "quiet", out.quiet(), limitsPlace);
     if (!wait.ok()) return wait.status();
@@ -113,28 +114,30 @@
     return absl::OkStatus();
 }
 
-absl::Status readService(const rapidjson::Value& group, const Place& place, proto::ServiceResource& out) {
-    out.set_name(stringMember(group, "name"));
-    out.set_health_path(group.HasMember("health_path") ? stringMember(group, "health_path") : "/health");
-    if (group.HasMember("max_connections")) {
+absl::Status readService(const rapidjson::Value& serviceJson, const JsonLocation& place,
+                         proto::ServiceResource& out) {
+    out.set_name(stringMember(serviceJson, "name"));
+    out.set_health_path(serviceJson.HasMember("health_path") ? stringMember(serviceJson, "health_path")
+                                                             : "/health");
+    if (serviceJson.HasMember("max_connections")) {
         out.set_max_connections(static_cast<std::uint32_t>(
-            std::min<std::uint64_t>(group["max_connections"].GetUint64(), 1000000)));
+            std::min<std::uint64_t>(serviceJson["max_connections"].GetUint64(), 1000000)));
     }
-    const auto warm = durationMember(group, "warm_up", 0, place);
+    const auto warm = durationMember(serviceJson, "warm_up", 0, place);
     if (!warm.ok()) return warm.status();
     out.set_warm_up(*warm);
-    if (group.HasMember("cold_per_s")) out.set_cold_per_s(group["cold_per_s"].GetDouble());
+    if (serviceJson.HasMember("cold_per_s")) out.set_cold_per_s(serviceJson["cold_per_s"].GetDouble());
     return absl::OkStatus();
 }
 
 using Names = std::set<std::string>;
 
-absl::StatusOr<std::vector<proto::ServiceResource>> readServices(const rapidjson::Value& groups,
+absl::StatusOr<std::vector<proto::ServiceResource>> readServices(const rapidjson::Value& servicesJson,
                                                                  Names& names) {
-    std::vector<proto::ServiceResource> services(groups.Size());
-    for (unsigned i = 0; i < groups.Size(); ++i) {
-        const Place place{"#/groups/", i};
-        if (auto s = readService(groups[i], place, services[i]); !s.ok()) return s;
+    std::vector<proto::ServiceResource> services(servicesJson.Size());
+    for (unsigned i = 0; i < servicesJson.Size(); ++i) {
+        const JsonLocation place{"#/groups/", i};
+        if (auto s = readService(servicesJson[i], place, services[i]); !s.ok()) return s;
         if (!names.insert(services[i].name()).second) return invalidAt(place.text("/name"), "stands twice");
     }
     return services;
@@ -143,17 +146,17 @@
 absl::StatusOr<std::vector<proto::RouteResource>> readRoutes(const rapidjson::Value& listeners,
                                                              const Names& services) {
     std::vector<proto::RouteResource> routes;
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> seenHostPaths;
     for (unsigned i = 0; i < listeners.Size(); ++i) {
         const rapidjson::Value& listener = listeners[i];
         for (unsigned k = 0; k < listener["rules"].Size(); ++k) {
-            const Place place{"#/listeners/", i, static_cast<int>(k)};
+            const JsonLocation place{"#/listeners/", i, static_cast<int>(k)};
             proto::RouteResource route;
             if (auto s = readRoute(listener["rules"][k], stringMember(listener, "host_name"), place, services,
                                    route);
                 !s.ok())
                 return s;
-            if (!places.emplace(route.host_name(), route.path_start()).second)
+            if (!seenHostPaths.emplace(route.host_name(), route.path_start()).second)
                 return invalidAt(place.text("/match/path_start"), "stands twice under this host");
             routes.push_back(std::move(route));
         }
@@ -161,7 +164,7 @@
     return routes;
 }
 
-// The latest results, by the hash of their texts.
+// The most recently parsed configurations, keyed by the hash of their JSON text.
 class ParseCache {
 public:
     [[nodiscard]] const Configuration* find(const XXH128_hash_t& hash) const {
@@ -209,7 +212,7 @@
     return out;
 }
 
-absl::StatusOr<Configuration> readConfiguration(std::string_view json) {
+absl::StatusOr<Configuration> parseConfigurationCached(std::string_view json) {
     thread_local ParseCache cache;
     const XXH128_hash_t hash = XXH3_128bits(json.data(), json.size());
     if (const Configuration* cached = cache.find(hash)) return *cached;
--- a/src/gateway/configuration/configuration.h
+++ b/src/gateway/configuration/configuration.h
@@ -25,8 +25,8 @@
 /// Parses a configuration; returns InvalidArgument with the location and the violated rule if it is invalid.
 /// Does not check anything that depends on the current version. Caches the latest few results per thread by a
 /// 128-bit hash of the text, so that a request, the state machine and a restored snapshot parse it only once.
-[[nodiscard]] absl::StatusOr<Configuration> readConfiguration(std::string_view json);
-/// Like `readConfiguration`, without the cache.
+[[nodiscard]] absl::StatusOr<Configuration> parseConfigurationCached(std::string_view json);
+/// Like `parseConfigurationCached`, without the cache.
 [[nodiscard]] absl::StatusOr<Configuration> parseConfiguration(std::string_view json);
 
 }  // namespace marldale::configuration
--- a/src/gateway/configuration/configuration_difference.cpp
+++ b/src/gateway/configuration/configuration_difference.cpp
@@ -23,17 +23,17 @@
 template <class Item>
 ListDifference<Item> differenceOf(const SharedList<Item>& before, const SharedList<Item>& after) {
     ListDifference<Item> difference;
-    if (before.sharesWith(after)) return difference;
-    const auto compareInPlace = [&](const Item& old, const Item& now) {
-        if (keyOf(old) != keyOf(now)) return false;
-        if (!same(old, now)) difference.put.push_back(&now);
+    if (before.sharesStorageWith(after)) return difference;
+    const auto recordIfChanged = [&](const Item& oldItem, const Item& newItem) {
+        if (keyOf(oldItem) != keyOf(newItem)) return false;
+        if (!same(oldItem, newItem)) difference.put.push_back(&newItem);
         return true;
     };
     const std::size_t shorter = std::min(before.size(), after.size());
     std::size_t head = 0, tail = 0;
-    while (head < shorter && compareInPlace(before[head], after[head])) ++head;
+    while (head < shorter && recordIfChanged(before[head], after[head])) ++head;
     while (head + tail < shorter &&
-           compareInPlace(before[before.size() - 1 - tail], after[after.size() - 1 - tail]))
+           recordIfChanged(before[before.size() - 1 - tail], after[after.size() - 1 - tail]))
         ++tail;
     std::map<decltype(keyOf(after[0])), const Item*> old;
     for (std::size_t at = head; at + tail < before.size(); ++at) old.emplace(keyOf(before[at]), &before[at]);
--- a/src/gateway/configuration/configuration_store.cpp
+++ b/src/gateway/configuration/configuration_store.cpp
@@ -31,7 +31,7 @@
     if (change.empty()) return Verdict::invalid;
     if (change[0] == kReplace) {
         const std::string json = change.substr(1);
-        const auto read = readConfiguration(json);
+        const auto read = parseConfigurationCached(json);
         if (!read.ok()) return Verdict::invalid;
         return history_.judge(identityOf(*read, json), configuration_.version);
     }
@@ -41,7 +41,7 @@
 }
 
 Verdict ConfigurationStore::applyReplace(std::uint64_t index, const std::string& json) {
-    auto read = readConfiguration(json);
+    auto read = parseConfigurationCached(json);
     if (!read.ok()) return Verdict::invalid;
     const Verdict verdict = history_.decide(identityOf(*read, json), configuration_.version);
     if (verdict != Verdict::taken) return verdict;
@@ -97,10 +97,10 @@
     if (!from.good() || !from.empty())
         return absl::DataLossError("a snapshot of configurations is not whole");
     if (!next.json_.empty()) {
-        auto read = readConfiguration(next.json_);
+        auto read = parseConfigurationCached(next.json_);
         if (!read.ok()) return absl::DataLossError("a snapshot's configuration is not valid");
         next.configuration_ = std::move(*read);
-        if (hasShortHashes) next.history_.adopt(identityOf(next.configuration_, next.json_));
+        if (hasShortHashes) next.history_.resetTo(identityOf(next.configuration_, next.json_));
     }
     *this = std::move(next);
     return absl::OkStatus();
--- a/src/gateway/configuration/order_history.cpp
+++ b/src/gateway/configuration/order_history.cpp
@@ -17,16 +17,16 @@
 }
 
 Verdict OrderHistory::judge(const OrderIdentity& order, std::uint64_t current) const {
-    const auto before = taken_.find(order.version);
-    const bool numberTaken = before != taken_.end();
+    const auto before = accepted_.find(order.version);
+    const bool numberTaken = before != accepted_.end();
     if (numberTaken && (faults_.ignoresDigest || before->second == order.digest)) return Verdict::already;
     if (order.version <= order.builtOn) return Verdict::invalid;
     if (numberTaken) return Verdict::stale;
     if (order.version <= lastDroppedVersion_)
         return faults_.forgetsTaken ? Verdict::stale : Verdict::undecided;
-    if (refused_.count(order) != 0) return Verdict::stale;
+    if (staleOrders_.count(order) != 0) return Verdict::stale;
     if (order.builtOn == current) return Verdict::taken;
-    const bool full = refused_.size() >= limits_.refused && !faults_.forgetsRefused;
+    const bool full = staleOrders_.size() >= limits_.refused && !faults_.forgetsRefused;
     // An order must not be refused if the refusal cannot be remembered.
     if (baseMayBecomeCurrent(order, current) && full) return Verdict::undecided;
     return Verdict::stale;
@@ -36,37 +36,39 @@
     const Verdict verdict = judge(order, current);
     if (verdict == Verdict::taken) recordTaken(order);
     if (verdict == Verdict::stale && baseMayBecomeCurrent(order, current) && !faults_.forgetsRefused)
-        refused_.insert(order);
+        staleOrders_.insert(order);
     return verdict;
 }
 
 void OrderHistory::recordTaken(const OrderIdentity& order) {
-    taken_[order.version] = order.digest;
+    accepted_[order.version] = order.digest;
     const std::size_t limit = faults_.forgetsTaken ? 1 : limits_.taken;
-    while (taken_.size() > limit) {
-        lastDroppedVersion_ = taken_.begin()->first;
-        taken_.erase(taken_.begin());
+    while (accepted_.size() > limit) {
+        lastDroppedVersion_ = accepted_.begin()->first;
+        accepted_.erase(accepted_.begin());
     }
-    // Sorted by base: orders built on an earlier version stay stale without a record.
-    while (!refused_.empty() && refused_.begin()->builtOn < order.version) refused_.erase(refused_.begin());
+    // `staleOrders_` is sorted by `builtOn`. Orders built on a version below the current one are stale
+    // anyway, so their records can be dropped.
+    while (!staleOrders_.empty() && staleOrders_.begin()->builtOn < order.version)
+        staleOrders_.erase(staleOrders_.begin());
 }
 
-void OrderHistory::adopt(const OrderIdentity& current) {
-    taken_ = {{current.version, current.digest}};
-    refused_.clear();
+void OrderHistory::resetTo(const OrderIdentity& current) {
+    accepted_ = {{current.version, current.digest}};
+    staleOrders_.clear();
     lastDroppedVersion_ = current.version == 0 ? 0 : current.version - 1;
 }
 
 void OrderHistory::encode(std::string& out) const {
     bytes::putVar(out, lastDroppedVersion_);
-    bytes::putVar(out, taken_.size());
-    for (const auto& [version, digest] : taken_) {
+    bytes::putVar(out, accepted_.size());
+    for (const auto& [version, digest] : accepted_) {
         bytes::putVar(out, version);
         bytes::putFixed(out, digest.low);
         bytes::putFixed(out, digest.high);
     }
-    bytes::putVar(out, refused_.size());
-    for (const OrderIdentity& order : refused_) {
+    bytes::putVar(out, staleOrders_.size());
+    for (const OrderIdentity& order : staleOrders_) {
         bytes::putVar(out, order.builtOn);
         bytes::putVar(out, order.version);
         bytes::putFixed(out, order.digest.low);
@@ -80,7 +82,7 @@
     for (std::uint64_t remaining = from.var(); from.good() && remaining > 0; --remaining) {
         const std::uint64_t version = from.var();
         const std::uint64_t low = from.fixed();
-        next.taken_[version] = {low, from.fixed()};
+        next.accepted_[version] = {low, from.fixed()};
     }
     for (std::uint64_t remaining = from.var(); from.good() && remaining > 0; --remaining) {
         OrderIdentity order;
@@ -88,7 +90,7 @@
         order.version = from.var();
         order.digest.low = from.fixed();
         order.digest.high = from.fixed();
-        next.refused_.insert(order);
+        next.staleOrders_.insert(order);
     }
     if (from.good()) *this = std::move(next);
 }
--- a/src/gateway/configuration/order_history.h
+++ b/src/gateway/configuration/order_history.h
@@ -68,11 +68,11 @@
 
     /// Replaces the history for a state without identities: of the orders up to `current`, only that one is
     /// known.
-    void adopt(const OrderIdentity& current);
+    void resetTo(const OrderIdentity& current);
 
     /// Return the number of remembered orders.
-    [[nodiscard]] std::size_t takenCount() const { return taken_.size(); }
-    [[nodiscard]] std::size_t refusedCount() const { return refused_.size(); }
+    [[nodiscard]] std::size_t takenCount() const { return accepted_.size(); }
+    [[nodiscard]] std::size_t refusedCount() const { return staleOrders_.size(); }
 
     /// Appends the encoded history.
     void encode(std::string& out) const;
@@ -85,9 +85,9 @@
 
     Limits limits_;
     OrderFaults faults_;
-    std::map<std::uint64_t, OrderDigest> taken_;  // by version
-    std::uint64_t lastDroppedVersion_ = 0;        // the highest version whose record was dropped
-    std::set<OrderIdentity> refused_;             // only those whose base may still become current
+    std::map<std::uint64_t, OrderDigest> accepted_;  // by version
+    std::uint64_t lastDroppedVersion_ = 0;           // the highest version whose record was dropped
+    std::set<OrderIdentity> staleOrders_;            // only those whose base may still become current
 };
 
 }  // namespace marldale::configuration
--- a/src/gateway/configuration/shared_list.h
+++ b/src/gateway/configuration/shared_list.h
@@ -23,7 +23,7 @@
     [[nodiscard]] bool empty() const { return items().empty(); }
     [[nodiscard]] const Item& operator[](std::size_t index) const { return items()[index]; }
     /// Returns whether both are copies of the same list; equal items are not sufficient.
-    [[nodiscard]] bool sharesWith(const SharedList& other) const { return items_ == other.items_; }
+    [[nodiscard]] bool sharesStorageWith(const SharedList& other) const { return items_ == other.items_; }
 
 private:
     [[nodiscard]] const std::vector<Item>& items() const {
--- a/src/gateway/controller/calls.h
+++ b/src/gateway/controller/calls.h
@@ -1,5 +1,5 @@
-// The HTTP calls of servers and operators. Each call is defined next to its handler, in calls_*.cpp; the
-// control server finds it by method and path.
+// The HTTP endpoints that servers and operators use. Each call is defined next to its handler, in
+// calls_*.cpp; the control server finds it by method and path.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 struct Request {
     std::string method, target, body;
     std::string builtOn;   // the X-Built-On header, if sent
-    std::string argument;  // the rest of the target after the path of the call
+    std::string argument;  // the part of the path after `Call::path`, without the query string
 };
 /// The HTTP reply to a request.
 struct Reply {
@@ -24,7 +24,7 @@
     std::string body = "{}";
     std::string location;  // for status 307
 };
-/// Sends the reply. Called exactly once, at any time.
+/// Sends the reply. It is called exactly once, before or after the handler returns.
 using ReplyCallback = std::function<void(Reply)>;
 
 /// One call: its method, its path and its handler.
@@ -39,7 +39,7 @@
     kEmptyZoneFinish, kStatus;
 /// All calls, in the order in which they are listed and matched.
 [[nodiscard]] const std::vector<const Call*>& calls();
-/// The call that matches a request, with its argument; null if none does.
+/// Result of `findCall`: the matching call (null if none) and its path argument.
 struct CallMatch {
     const Call* call = nullptr;
     std::string argument;
--- a/src/gateway/controller/calls_operator.cpp
+++ b/src/gateway/controller/calls_operator.cpp
@@ -13,7 +13,7 @@
     if (!controller.inQuorumContact())
         return controller.change(configuration::replaceChange(request.body), "configuration",
                                  std::move(sendReply));
-    const auto read = configuration::readConfiguration(request.body);
+    const auto read = configuration::parseConfigurationCached(request.body);
     if (!read.ok()) return sendReply(problemReply(400, std::string(read.status().message())));
     std::uint64_t builtOn = 0;
     if (!request.builtOn.empty() &&
--- a/src/gateway/program/program.cpp
+++ b/src/gateway/program/program.cpp
@@ -189,7 +189,7 @@
             status = absl::NotFoundError("can't be read");
         } else if (const auto first = text.str().find_first_not_of(" \t\r\n");
                    first != std::string::npos && text.str()[first] == '{') {
-            const auto read = configuration::readConfiguration(text.str());
+            const auto read = configuration::parseConfigurationCached(text.str());
             status = read.status();
             if (read.ok() && read->version <= read->builtOn)
                 status = absl::InvalidArgumentError("version: not above built_on");
--- a/src/gateway/raft/election.cpp
+++ b/src/gateway/raft/election.cpp
@@ -24,9 +24,9 @@
     leader.reset();
     // Deferred messages belong to an earlier term, and the entries they refer to may have been truncated.
     deferredMessages.clear();
-    matchedIndex = commit;
-    receivedRound = respondedRound = 0;
-    respondedMatch = acceptedPrevIndex = 0;
+    followerMatchIndex = commit;
+    receivedRound = lastSentRound = 0;
+    lastSentMatchIndex = acceptedPrevIndex = 0;
     responseDue = lastAppendRejected = false;
     pendingRejection.reset();
     snapshotProgress.reset();
@@ -47,7 +47,7 @@
         leadershipTransferStartedAt = -1;
         heartbeatDue = kNever;
         leaderContactAt = now;
-        matchedIndex = commit;
+        followerMatchIndex = commit;
     }
     if (previousRole != Role::follower) resetElectionTimer();
 }
@@ -63,7 +63,7 @@
     requestVotes(RaftMessage::PRE_VOTE, term + 1, false);
 }
 
-void Replica::State::startElection(bool handedOver) {
+void Replica::State::startElection(bool byLeadershipTransfer) {
     role = Role::candidate;
     report({EventKind::electionStarted, term + 1, lastIndex(), {}, {}, {}, {}});
     enterTerm(term + 1);
@@ -72,10 +72,10 @@
     votesGranted.clear();
     // Vote requests are sent once the vote for itself is durable; only then does that vote count.
     voteWrite = nextDurableWrite();
-    requestVotes(RaftMessage::VOTE, term, handedOver);
+    requestVotes(RaftMessage::VOTE, term, byLeadershipTransfer);
 }
 
-void Replica::State::requestVotes(RaftMessage::Kind kind, Term electionTerm, bool handedOver) {
+void Replica::State::requestVotes(RaftMessage::Kind kind, Term electionTerm, bool byLeadershipTransfer) {
     std::set<MemberKey> asked{memberKey(self)};
     const auto requestFrom = [&](const Members& all) {
         for (const auto& voter : all.voters()) {
@@ -84,7 +84,7 @@
             request.set_term(electionTerm);
             request.set_last_index(lastIndex());
             request.set_last_term(lastTerm());
-            request.set_handed_over(handedOver);
+            request.set_handed_over(byLeadershipTransfer);
             if (kind == RaftMessage::VOTE) {
                 sendWhenDurable(std::move(request));
             } else {
--- a/src/gateway/raft/membership.cpp
+++ b/src/gateway/raft/membership.cpp
@@ -90,7 +90,7 @@
     const auto found = peers.find(memberKey(voter));
     if (found == peers.end()) return {voter, false, false, false};
     const Peer& peer = found->second;
-    const bool silent = !recentlyConfirmed(peer) && now - peer.lastContactAt >= silenceLimit();
+    const bool silent = !recentlyConfirmed(peer) && now - peer.lastContactAt >= voterLossTimeout();
     return {peer.member, silent && !settings.faults.keepsSilentVoter, peer.leaving, false};
 }
 
@@ -128,15 +128,15 @@
 // (each loss `catchUp` after the previous one).
 bool Replica::State::withinChangeLimit() const {
     if (settings.faults.replacesWithoutLimit) return true;
-    const Micros windowStart = now - changeLimitSpan();
+    const Micros windowStart = now - membershipChangeWindow();
     const auto recent = std::count_if(recentChangeTimes.begin(), recentChangeTimes.end(),
                                       [&](Micros proposedAt) { return proposedAt > windowStart; });
-    return recent < 2 * minorityOfVoters();
+    return recent < 2 * minoritySize();
 }
 
 void Replica::State::setMembershipChangeAges(RaftMessage& message) const {
     for (const Micros proposedAt : recentChangeTimes)
-        if (now - proposedAt < changeLimitSpan()) message.add_membership_change_ages(now - proposedAt);
+        if (now - proposedAt < membershipChangeWindow()) message.add_membership_change_ages(now - proposedAt);
 }
 
 // Replaces this replica's list by the leader's: the leader learned of every committed change from messages
@@ -180,7 +180,7 @@
         const Peer& peer = it->second;
         const bool isMember =
             contains(config().members, peer.member) || contains(config().outgoing, peer.member);
-        it = !isMember && now - peer.lastContactAt > silenceLimit() ? peers.erase(it) : std::next(it);
+        it = !isMember && now - peer.lastContactAt > voterLossTimeout() ? peers.erase(it) : std::next(it);
     }
 }
 
@@ -200,7 +200,7 @@
     if (!settings.faults.forgetsOutgoing) *entry.mutable_outgoing() = before;
     const Index index = append(std::move(entry));
     recentChangeTimes.push_back(now);
-    while (now - recentChangeTimes.front() >= changeLimitSpan()) recentChangeTimes.pop_front();
+    while (now - recentChangeTimes.front() >= membershipChangeWindow()) recentChangeTimes.pop_front();
     report({EventKind::membershipProposed, term, index, {}, change.added, change.removed, change.reason});
 }
 
--- a/src/gateway/raft/replica.cpp
+++ b/src/gateway/raft/replica.cpp
@@ -191,7 +191,7 @@
     const auto& state = *state_;
     if (!state.leaving || state.role == Role::leader) return false;
     const bool settled = state.config().index <= state.commit && state.config().outgoing.voters().empty();
-    return state.released || (settled && !votes());
+    return state.mayTerminate || (settled && !votes());
 }
 
 Ready Replica::take() {
--- a/src/gateway/raft/replica_state.h
+++ b/src/gateway/raft/replica_state.h
@@ -29,15 +29,15 @@
 inline constexpr Micros kIsolationTimeout = 3000000;
 inline constexpr Micros kStartupSpan = 2000000;   // after a start, elections are attempted more often
 inline constexpr Micros kMarkLifetime = 5000000;  // how long sent marks are remembered
-// Silence after which nothing is retained for a follower.
-inline constexpr Micros kCatchUpTimeout = 10000000;
+// No log entries are retained for a follower that has been silent this long, and no snapshot is sent to it.
+inline constexpr Micros kFollowerRetentionTimeout = 10000000;
 inline constexpr std::size_t kJoinFanout = 3;
 inline constexpr std::size_t kMaxLearners = 64;
 inline constexpr std::size_t kMaxVoters = 64;
 inline constexpr std::size_t kMaxInFlightBytes = 1U << 20U;
 inline constexpr std::size_t kMaxUncommittedEntries = 4096;  // proposals are refused beyond this
 inline constexpr std::size_t kMaxUncommittedBytes = 8U << 20U;
-// Entries retained in memory before a snapshot for slow followers.
+// Entries preceding the snapshot that are kept in memory for slow followers.
 inline constexpr Index kRetainedEntries = 64;
 inline constexpr std::size_t kRetainedBytes = 1U << 20U;
 
@@ -70,7 +70,7 @@
     Members outgoing;  // the previous members, whose majority is also required; empty: none
 };
 
-// Another machine as seen by the leader.
+// The leader's replication state for another replica.
 struct Peer {
     Member member;
     Progress progress = Progress::probe;
@@ -84,7 +84,7 @@
     std::uint64_t mark = 0;               // of its last response, echoed in the next message to it
     Micros markReceivedAt = 0;
     bool leaving = false;                                // as it last reported
-    bool caughtUpReported = false;                       // whether the event was reported
+    bool caughtUpReported = false;                       // whether the caught-up event was reported
     std::deque<std::pair<Index, std::size_t>> inFlight;  // last index and bytes of each append message
     std::size_t inFlightBytes = 0;
     SnapshotSender snapshotSender;  // active in `Progress::snapshot`
@@ -123,7 +123,7 @@
     Term term = 0;
     std::optional<Member> votedFor;
     proto::Snapshot snapshot;
-    std::deque<Entry> log;  // from `baseIndex` + 1 on; may reach back before the snapshot
+    std::deque<Entry> log;  // the first entry is `baseIndex` + 1, which may precede the snapshot's last index
     Index baseIndex = 0;
     Term baseTerm = 0;
     std::vector<Config> configs;  // ordered by index; the last one is in effect
@@ -153,15 +153,16 @@
     std::size_t nextContact = 0;
     Term lastLedTerm = 0;  // the last term in which this replica led
     Ready ready;           // the work that `take` returns
-    bool leaving = false, released = false;
+    bool leaving = false, mayTerminate = false;
 
     // ---- follower ----
-    Index matchedIndex = 0;  // the last entry known to match the log of this term's leader
-    std::uint64_t receivedRound = 0, respondedRound = 0;
-    Index respondedMatch = 0, acceptedPrevIndex = 0;
+    Index followerMatchIndex = 0;  // the last entry known to match the log of this term's leader
+    std::uint64_t receivedRound = 0, lastSentRound = 0;
+    Index lastSentMatchIndex = 0, acceptedPrevIndex = 0;
     bool responseDue = false, lastAppendRejected = false;
     std::optional<RaftMessage> pendingRejection;
-    // Each response carries a mark. The leader echoes it, which bounds the age of the leader's message.
+    // Each response carries a mark. The leader echoes the latest one, so its message was sent after
+    // this replica sent that mark.
     std::uint64_t mark = 0;
     std::deque<std::pair<std::uint64_t, Micros>> sentMarks;  // with the times of sending
     SnapshotReceiver snapshotReceiver;
@@ -174,7 +175,7 @@
     // ---- leader ----
     std::map<MemberKey, Peer> peers;
     Index termStartIndex = 0;  // of the first entry of this leader's term
-    std::uint64_t round = 0;   // of heartbeats
+    std::uint64_t round = 0;   // number of the current heartbeat round
     bool roundRequested = false;
     std::map<std::uint64_t, Micros> roundStartTimes;
     Micros confirmedAt = 0;            // start time of the last round that a quorum confirmed
@@ -184,7 +185,7 @@
     Micros leadershipTransferStartedAt = -1;
     bool leadershipTransferSent = false;
     // When membership changes were proposed, by this replica's clock. Followers copy the list from their
-    // leader, so a new leader continues with the same limit.
+    // leader, so the rate limit also holds across a leader change.
     std::deque<Micros> recentChangeTimes;
     bool membershipSettled = false;  // leader: no membership change is in progress or wanted
     std::size_t uncommittedBytes = 0;
@@ -201,9 +202,9 @@
     }
     [[nodiscard]] Term lastTerm() const { return termAt(lastIndex()); }
 
-    // Time without contact after which a voter is assumed lost. The rest of `catchUp` covers an election and
-    // the two entries of the membership change.
-    [[nodiscard]] Micros silenceLimit() const {
+    // Time without contact after which a voter is assumed lost. Leaves enough of `catchUp` for an election
+    // and for committing the two entries of the membership change.
+    [[nodiscard]] Micros voterLossTimeout() const {
         return std::clamp(settings.catchUp - 2 * settings.maxElectionTimeout, settings.maxElectionTimeout,
                           2 * settings.maxElectionTimeout);
     }
@@ -282,8 +283,8 @@
     void becomeFollower(Term newTerm);
 
     void startPreVote();
-    void startElection(bool handedOver);
-    void requestVotes(RaftMessage::Kind kind, Term electionTerm, bool handedOver);
+    void startElection(bool byLeadershipTransfer);
+    void requestVotes(RaftMessage::Kind kind, Term electionTerm, bool byLeadershipTransfer);
     void becomeLeader();
     void trackVoters(Index nextIndex);
     Peer& trackPeer(const Member& member, Index nextIndex);
@@ -316,11 +317,9 @@
     [[nodiscard]] bool hasUnresponsiveVoter(const std::vector<MembershipCandidate>& voters) const;
     [[nodiscard]] bool responds(const Member& member) const;
     [[nodiscard]] bool withinChangeLimit() const;
-    // The time window of the limit on membership changes: that in which a minority may be lost one by one.
-    [[nodiscard]] Micros changeLimitSpan() const { return minorityOfVoters() * settings.catchUp; }
-    [[nodiscard]] int minorityOfVoters() const {
-        return std::max(1, (config().members.voters_size() - 1) / 2);
-    }
+    // The time window of the limit on membership changes: `catchUp` for each voter of a minority.
+    [[nodiscard]] Micros membershipChangeWindow() const { return minoritySize() * settings.catchUp; }
+    [[nodiscard]] int minoritySize() const { return std::max(1, (config().members.voters_size() - 1) / 2); }
     void setMembershipChangeAges(RaftMessage& message) const;
     void adoptMembershipChangeAges(const RaftMessage& message);
     void reportCaughtUpLearners();
--- a/src/gateway/raft/replication.cpp
+++ b/src/gateway/raft/replication.cpp
@@ -146,14 +146,14 @@
     leaderContactAt = now;
     resetElectionTimer();
     receivedRound = std::max(receivedRound, message.round());
-    released = leaving && message.released();
+    mayTerminate = leaving && message.released();
     adoptMembershipChangeAges(message);
     if (message.kind() == RaftMessage::INSTALL) {
         onSnapshotChunk(message);
     } else {
         onAppend(message);
     }
-    if (receivedRound > respondedRound) responseDue = true;
+    if (receivedRound > lastSentRound) responseDue = true;
     if (message.quorum_age() >= 0 && commit >= message.commit()) {
         if (settings.faults.trustsArrival)
             quorumContactAt = std::max(quorumContactAt, now - message.quorum_age());
@@ -199,8 +199,8 @@
     }
     pendingRejection.reset();
     acceptedPrevIndex = prevIndex;
-    matchedIndex = std::max(matchedIndex, index);
-    const Index commitIndex = std::min(append.commit(), matchedIndex);
+    followerMatchIndex = std::max(followerMatchIndex, index);
+    const Index commitIndex = std::min(append.commit(), followerMatchIndex);
     if (commitIndex > commit) commitTo(commitIndex);
     if (std::exchange(lastAppendRejected, false) || (!append.entries().empty() && durableIndex >= index))
         responseDue = true;
@@ -258,9 +258,10 @@
 
 void Replica::State::respondToLeader() {
     if (!leader || role != Role::follower || !hardStateDurable()) return;
-    const Index matchIndex =
-        settings.faults.answersAppendUnsynced ? matchedIndex : std::min(matchedIndex, durableIndex);
-    if (matchIndex > respondedMatch) responseDue = true;
+    const Index matchIndex = settings.faults.answersAppendUnsynced
+                                 ? followerMatchIndex
+                                 : std::min(followerMatchIndex, durableIndex);
+    if (matchIndex > lastSentMatchIndex) responseDue = true;
     if (!responseDue && !pendingRejection) return;
     RaftMessage response;
     if (pendingRejection) {
@@ -273,12 +274,12 @@
         response.set_granted(true);
         response.set_match(matchIndex);
         response.set_last_index(acceptedPrevIndex);
-        respondedMatch = matchIndex;
+        lastSentMatchIndex = matchIndex;
     }
     responseDue = false;
     response.set_round(receivedRound);
     response.set_leaving(leaving);
-    respondedRound = receivedRound;
+    lastSentRound = receivedRound;
     response.set_mark(++mark);
     sentMarks.emplace_back(mark, now);
     while (now - sentMarks.front().second > kMarkLifetime) sentMarks.pop_front();
--- a/src/gateway/raft/snapshots.cpp
+++ b/src/gateway/raft/snapshots.cpp
@@ -21,7 +21,7 @@
 // A transfer in progress is completed even if a newer snapshot exists, because the log continues from it. It
 // is replaced by the newest snapshot only when the log no longer reaches back to it.
 void Replica::State::sendSnapshot(Peer& peer, bool heartbeat) {
-    if (now - peer.lastContactAt > kCatchUpTimeout) {
+    if (now - peer.lastContactAt > kFollowerRetentionTimeout) {
         peer.startProbing(peer.matchIndex + 1);
         if (heartbeat) sendAppend(peer, false);
         return;
@@ -49,7 +49,7 @@
     Index first = std::numeric_limits<Index>::max();
     if (role != Role::leader || settings.faults.trimsUnderFollowers) return first;
     for (const auto& [key, peer] : peers) {
-        if (now - peer.lastContactAt > kCatchUpTimeout) continue;
+        if (now - peer.lastContactAt > kFollowerRetentionTimeout) continue;
         switch (peer.progress) {
             case Progress::snapshot: first = std::min(first, peer.snapshotSender.index() + 1); break;
             case Progress::replicate: first = std::min(first, peer.matchIndex + 1); break;
@@ -87,7 +87,7 @@
     responseDue = true;
     if ((index <= commit || inLog) && !settings.faults.installsOlderSnapshots) {
         acceptedPrevIndex = index;
-        matchedIndex = std::max(matchedIndex, index);
+        followerMatchIndex = std::max(followerMatchIndex, index);
         if (index > commit) commitTo(index);
         return;
     }
@@ -101,7 +101,7 @@
     check(received.index() > commit || settings.faults.installsOlderSnapshots,
           "a snapshot would replace a newer state");
     acceptedPrevIndex = received.index();
-    matchedIndex = std::max(matchedIndex, received.index());
+    followerMatchIndex = std::max(followerMatchIndex, received.index());
     durableIndex = std::min(durableIndex, commit);
     inFlightLastIndex = std::min(inFlightLastIndex, commit);
     truncateFrom = std::min(truncateFrom.value_or(received.index() + 1), received.index() + 1);
--- a/src/lab/emulator/instance.cpp
+++ b/src/lab/emulator/instance.cpp
@@ -127,7 +127,7 @@
     version_ = news.rev;
     std::map<std::string, recovery::Knowledge::ListedServer> all;
     for (const auto& [uid, entry] : list_) all[uid] = {entry.state, entry.bootUs / 1000};
-    memory_.updateList(version_, all, now);
+    memory_.updateServerList(version_, all, now);
 }
 
 void Instance::hear(const ListedNews& news, Micros now) {
--- a/src/lab/trace_program/knowledge_commands.cpp
+++ b/src/lab/trace_program/knowledge_commands.cpp
@@ -41,7 +41,7 @@
 int showKnowledgeCommand(const KnowledgeAsked& asked) {
     const Snapshot snapshot = snapshotOf(asked.snapshot);
     char when[40];
-    const std::string written(sources::shown(snapshot.wallUs, when));
+    const std::string written(sources::shown(snapshot.exportedAtUs, when));
     if (asked.json) {
         nlohmann::json out{{"from", snapshot.handover.from},
                            {"written", written},
--- a/src/planner/knowledge/keeper.cpp
+++ b/src/planner/knowledge/keeper.cpp
@@ -100,7 +100,7 @@
     [[nodiscard]] std::shared_ptr<const std::string> handOver() override {
         const Micros now = steadyNow();
         const std::lock_guard lock(cacheMutex_);
-        if (!cachedHandover_ || now - cachedAt_ >= PeerQueryRules().handoverCacheTime) {
+        if (!cachedHandover_ || now - cachedAt_ >= PeerQuerySettings().handoverCacheTime) {
             Handover handover;
             {
                 const std::lock_guard inner(mutex_);
@@ -164,7 +164,7 @@
         const MergeCounts counts = coordinator_.mergeSnapshot(snapshot->handover, *age, now);
         host_.log("knowledge", "snapshot of " + snapshot->handover.from + ", " +
                                    std::to_string(*age / 1000000) +
-                                   " s old: " + std::to_string(counts.taken) + " facts taken, " +
+                                   " s old: " + std::to_string(counts.merged) + " facts taken, " +
                                    std::to_string(counts.refused) + " refused");
     }
 
@@ -180,7 +180,7 @@
         catalogRev_ = std::max(catalogRev_, news.rev);
         std::map<std::string, Knowledge::ListedServer> all;
         for (const auto& [uid, entry] : catalog_) all[uid] = {entry.state, entry.bootUs / 1000};
-        coordinator_.updateList(catalogRev_, all, now);
+        coordinator_.updateServerList(catalogRev_, all, now);
     }
     void observe(const protocol::News& news) {
         if (const auto* hello = std::get_if<protocol::Hello>(&news))
@@ -324,7 +324,7 @@
             const std::lock_guard lock(mutex_);
             snapshot.handover = coordinator_.handOver(steadyNow());
         }
-        snapshot.wallUs = wallNowUs();
+        snapshot.exportedAtUs = wallNowUs();
         try {
             writeSnapshot(settings_.snapshot, snapshot);
         } catch (const std::exception& e) {
--- a/tests/gateway/capacity_test.cpp
+++ b/tests/gateway/capacity_test.cpp
@@ -99,7 +99,7 @@
 
 TEST_CASE("The configurations that are measured with are ones that operators could send", "[capacity]") {
     for (const std::size_t routes : {0U, 1U, 10U, 25U}) {
-        const auto read = configuration::readConfiguration(configurationText(routes, 3, 5, 4, 2100));
+        const auto read = configuration::parseConfigurationCached(configurationText(routes, 3, 5, 4, 2100));
         INFO(routes);
         REQUIRE(read.ok());
         CHECK(read->version == 5);
--- a/tests/gateway/configuration_difference_test.cpp
+++ b/tests/gateway/configuration_difference_test.cpp
@@ -115,17 +115,17 @@
 }
 
 TEST_CASE("A parsed text is cached, and an invalid text is not mistaken for it", "[configuration]") {
-    const auto first = readConfiguration(kText), again = readConfiguration(kText);
+    const auto first = parseConfigurationCached(kText), again = parseConfigurationCached(kText);
     REQUIRE(first.ok());
     REQUIRE(again.ok());
-    CHECK(first->routes.sharesWith(again->routes));
-    CHECK_FALSE(first->routes.sharesWith(parseConfiguration(kText)->routes));
+    CHECK(first->routes.sharesStorageWith(again->routes));
+    CHECK_FALSE(first->routes.sharesStorageWith(parseConfiguration(kText)->routes));
     std::string changed = kText;
     changed.replace(changed.find("\"tries\":2"), 9, "\"tries\":3");
-    CHECK(readConfiguration(changed)->routes[0].tries() == 3);
+    CHECK(parseConfigurationCached(changed)->routes[0].tries() == 3);
     changed.replace(changed.find("\"tries\":3"), 9, "\"tries\":0");
-    CHECK_FALSE(readConfiguration(changed).ok());
-    CHECK_FALSE(readConfiguration(changed).ok());
+    CHECK_FALSE(parseConfigurationCached(changed).ok());
+    CHECK_FALSE(parseConfigurationCached(changed).ok());
 }
 
 TEST_CASE("Resources that differ in any single field are not equal", "[configuration]") {
--- a/tests/gateway/configuration_store_test.cpp
+++ b/tests/gateway/configuration_store_test.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 TEST_CASE("A configuration is parsed with its units", "[configuration]") {
-    const auto read = readConfiguration(configuration(
+    const auto read = parseConfigurationCached(configuration(
         7, 5,
         R"("shares":[{"service":"a","share":90},{"service":"b","share":10}],"give_up":"1.5s","tries":3)"));
     REQUIRE(read.ok());
@@ -53,14 +53,14 @@
         {"[]", "type"},
     };
     for (const auto& [text, place] : invalid) {
-        const auto read = readConfiguration(text);
+        const auto read = parseConfigurationCached(text);
         INFO(text);
         REQUIRE_FALSE(read.ok());
         INFO(std::string(read.status().message()));
         CHECK(std::string(read.status().message()).find(place) != std::string::npos);
     }
     // A target a minute above give_up is refused as a mistake; a little less is accepted.
-    CHECK(readConfiguration(
+    CHECK(parseConfigurationCached(
               configuration(7, 0, R"("service":"a","give_up":"2000ms","tries":2)", "/x/", "writing", "61.9s"))
               .ok());
 }
@@ -68,7 +68,7 @@
 TEST_CASE("A configuration that is truncated anywhere is refused", "[configuration]") {
     const std::string complete = configuration(7, 0);
     for (std::size_t length = 0; length + 1 < complete.size(); ++length)
-        REQUIRE_FALSE(readConfiguration(complete.substr(0, length)).ok());
+        REQUIRE_FALSE(parseConfigurationCached(complete.substr(0, length)).ok());
 }
 
 TEST_CASE("Only one of two changes on the same version is accepted, and it may be sent again",
--- a/tests/program/knowledge_test.cpp
+++ b/tests/program/knowledge_test.cpp
@@ -31,9 +31,9 @@
             snapshot.handover.listed.push_back(
                 {uid, version, other ? state : ServerState::ready, target["boot_ms"].get<std::int64_t>()});
         }
-        snapshot.wallUs = std::chrono::duration_cast<std::chrono::microseconds>(
-                              std::chrono::system_clock::now().time_since_epoch())
-                              .count();
+        snapshot.exportedAtUs = std::chrono::duration_cast<std::chrono::microseconds>(
+                                    std::chrono::system_clock::now().time_since_epoch())
+                                    .count();
         recovery::writeSnapshot(directory + "/k", snapshot);
     }
     Json known;
--- a/tests/program/sharing_test.cpp
+++ b/tests/program/sharing_test.cpp
@@ -57,9 +57,9 @@
                                               failed,
                                               failed == 0 ? 50000 : 0});
         }
-        snapshot.wallUs = std::chrono::duration_cast<std::chrono::microseconds>(
-                              std::chrono::system_clock::now().time_since_epoch())
-                              .count();
+        snapshot.exportedAtUs = std::chrono::duration_cast<std::chrono::microseconds>(
+                                    std::chrono::system_clock::now().time_since_epoch())
+                                    .count();
         recovery::writeSnapshot(path, snapshot);
     }
     const std::string share = "[grpc]\nlisten = 127.0.0.1:0\n[knowledge]\nshare = yes\n";
--- a/tests/recovery/coordinator_test.cpp
+++ b/tests/recovery/coordinator_test.cpp
@@ -97,7 +97,7 @@
         for (const char* peer : {"n0", "n1", "n2"}) settings.peers.push_back({peer, peer});
         auto& coordinator = all_[name] = std::make_unique<Coordinator>(settings, now);
         coordinator->connect(name);
-        coordinator->updateList(version, list, now);
+        coordinator->updateServerList(version, list, now);
         emitted.erase(name);
         holds.erase(name);
         return *coordinator;
@@ -240,10 +240,10 @@
     net.start("n2", 1, listOf(3), 5);
     net.run(2 * kSecond);
     EXPECT_EQ(net.holds["n2"], std::set<std::string>{"server-1"});
-    net["n2"].updateList(8, listOf(3), net.now);
+    net["n2"].updateServerList(8, listOf(3), net.now);
     net.run(kSecond);
     EXPECT_EQ(net.holds["n2"].size(), 1U);
-    net["n2"].updateList(9, listOf(3), net.now);  // this version of the own list has it as ready
+    net["n2"].updateServerList(9, listOf(3), net.now);  // this version of the own list has it as ready
     net.run(kSecond);
     EXPECT_TRUE(net.holds["n2"].empty());
 }
@@ -318,12 +318,12 @@
     settings.self = "n0";
     settings.incarnation = 2;
     Coordinator coordinator(settings, 0);
-    coordinator.updateList(1, listOf(1), 0);
+    coordinator.updateServerList(1, listOf(1), 0);
     EXPECT_TRUE(coordinator.due(0).empty());
     EXPECT_FALSE(coordinator.nextDue(0));
     Handover h;
     h.sums = {{"n0", "server-0", "a", 5, {1, 1}, 0, 40, 40, 0}};
-    EXPECT_EQ(coordinator.mergeSnapshot(h, 20 * kSecond, 0).taken, 1U);
+    EXPECT_EQ(coordinator.mergeSnapshot(h, 20 * kSecond, 0).merged, 1U);
     const CoordinatorActions actions = coordinator.due(0);
     ASSERT_EQ(actions.sums.size(), 1U);
     EXPECT_NEAR(actions.sums[0].tries, 20, 0.1) << "half of 40 after one half-life";
--- a/tests/recovery/recovery_test.cpp
+++ b/tests/recovery/recovery_test.cpp
@@ -225,7 +225,7 @@
     h.sums = {good};
     h.sums[0].origin = "me";
     h.sums[0].version = {6, 5};
-    EXPECT_EQ(k.merge(h, 0, 0).taken, 1U) << "observed by this instance in an earlier run";
+    EXPECT_EQ(k.merge(h, 0, 0).merged, 1U) << "observed by this instance in an earlier run";
 }
 
 TEST(Knowledge, TheDurationOfTheQueryCountsAsAge) {
@@ -298,7 +298,7 @@
     EXPECT_EQ(demand[0].rate, 15);
     EXPECT_EQ(demand[0].proxies, 2U);
     EXPECT_EQ(demand[0].age, kSecond);
-    EXPECT_EQ(other.merge(k.handOver(2 * kSecond), 0, 0).taken, 2U);
+    EXPECT_EQ(other.merge(k.handOver(2 * kSecond), 0, 0).merged, 2U);
     EXPECT_EQ(other.merge(k.handOver(2 * kSecond), 0, 0).known, 2U);
     EXPECT_EQ(other.handOver(0).demand.size(), 2U);
     k.removeProxy(1);
@@ -352,7 +352,7 @@
         std::string pattern = testing::TempDir() + "marldalesnapshotXXXXXX";
         ASSERT_NE(mkdtemp(pattern.data()), nullptr);
         directory = pattern;
-        snapshot.wallUs = 1791662400000000;
+        snapshot.exportedAtUs = 1791662400000000;
         snapshot.handover.from = "n0";
         for (int i = 0; i < 20; ++i) {
             snapshot.handover.sums.push_back(
@@ -404,8 +404,8 @@
 }
 
 TEST_F(SnapshotFile, AgeIsUnknownIfTheClockWentBackwards) {
-    EXPECT_EQ(snapshotAge(snapshot, snapshot.wallUs + 7), 7);
-    EXPECT_FALSE(snapshotAge(snapshot, snapshot.wallUs - 1));
+    EXPECT_EQ(snapshotAge(snapshot, snapshot.exportedAtUs + 7), 7);
+    EXPECT_FALSE(snapshotAge(snapshot, snapshot.exportedAtUs - 1));
 }
 
 }  // namespace
--- a/tests/simulation/controller_process.cpp
+++ b/tests/simulation/controller_process.cpp
@@ -137,7 +137,7 @@
     const Micros now = environment_.now();
     const Caller caller{from, request.attempt};
     const Order& order = request.order;
-    if (order.kind == Order::Kind::replace && !configuration::readConfiguration(order.text).ok())
+    if (order.kind == Order::Kind::replace && !configuration::parseConfigurationCached(order.text).ok())
         return answer(caller, Status::invalid);
     callers_[++lastOrder_] = caller;
     if (order.kind == Order::Kind::read) return orders_.read(now, lastOrder_);
