--- a/tests/gateway/request_forwarder_test.cpp
+++ b/tests/gateway/request_forwarder_test.cpp
@@ -502,7 +502,7 @@
     CHECK(world.arrivals() == 3);
 }
 
-TEST_CASE("Without capacity a request queues briefly, then is refused in time; rank goes first",
+TEST_CASE("Without capacity a request queues briefly, then is refused in time, by rank",
           "[request_forwarder]") {
     World world;
     FakeServer& server = world.server("i-1");
